--- a/lab/src/main/java/org/streamcourse/lab/fleet/Fleet.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/Fleet.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.streamcourse.lab.relay.Relay;
 import org.streamcourse.process.settings.HostPort;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
 /**
  * A whole fleet on loopback: three controllers, two proxies in each region, three members of each
@@ -73,18 +73,18 @@
    *
    * @param database group's name
    * @param member member's name
-   * @param place where it stands
+   * @param placement region and zone
    * @param sql its SQL address
    * @param process its process
    */
   public record MemberHandle(
-      String database, String member, Place place, HostPort sql, FleetProcess process) {}
+      String database, String member, Placement placement, HostPort sql, FleetProcess process) {}
 
   /**
    * One proxy of the fleet.
    *
    * @param name node's name
-   * @param place where it stands
+   * @param placement region and zone
    * @param callers address for callers, behind the relay that adds their latency
    * @param direct address without relay
    * @param metrics address of its metrics
@@ -92,7 +92,7 @@
    */
   public record ProxyHandle(
       String name,
-      Place place,
+      Placement placement,
       HostPort callers,
       HostPort direct,
       HostPort metrics,
@@ -104,7 +104,7 @@
   /**
    * Prepares a fleet.
    *
-   * @param profile places and sizes
+   * @param profile placements and sizes
    * @param folder folder for settings, data and logs
    * @param options further options
    * @throws IOException when ports or files can't be had
@@ -154,9 +154,9 @@
             .append(" AT '")
             .append(member.sql())
             .append("' REGION \"")
-            .append(member.place().region())
+            .append(member.placement().region())
             .append("\" ZONE \"")
-            .append(member.place().zone())
+            .append(member.placement().zone())
             .append("\" CONNECTIONS ")
             .append(layout.profile().connections())
             .append(" SLOTS ")
@@ -330,7 +330,7 @@
   /**
    * Returns the profile.
    *
-   * @return places and sizes
+   * @return placements and sizes
    */
   public Profile profile() {
     return layout.profile();
--- a/lab/src/main/java/org/streamcourse/lab/fleet/FleetLayout.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/FleetLayout.java
@@ -11,7 +11,7 @@
 import org.streamcourse.lab.relay.Relay;
 import org.streamcourse.process.StreamcourseCommand;
 import org.streamcourse.process.settings.HostPort;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import reactor.netty.resources.LoopResources;
 
 /**
@@ -23,7 +23,7 @@
   private static final int PROXY_HEAP_MB = 256;
   private static final int CONTROLLER_HEAP_MB = 192;
 
-  private record Node(String name, Place place, HostPort links) {}
+  private record Node(String name, Placement placement, HostPort links) {}
 
   private final Profile profile;
   private final Path folder;
@@ -44,7 +44,7 @@
   /**
    * Lays out a fleet: ports, settings files, relays and processes that do not run yet.
    *
-   * @param profile places and sizes
+   * @param profile placements and sizes
    * @param folder folder for settings, data and logs
    * @param options further options
    * @throws IOException when ports or files can't be had
@@ -55,12 +55,12 @@
     this.options = options;
     int regions = profile.regions().size();
     for (int i = 0; i < options.controllers(); i++) {
-      controllerNodes.add(new Node("c" + (i + 1), profile.place(i % regions, 0), ports.next()));
+      controllerNodes.add(new Node("c" + (i + 1), profile.placement(i % regions, 0), ports.next()));
     }
     for (int i = 0; i < options.proxies(); i++) {
       int region = i / Profile.ZONES_PER_REGION % regions;
-      Place place = profile.place(region, i % Profile.ZONES_PER_REGION);
-      proxyNodes.add(new Node("p" + (i + 1), place, ports.next()));
+      Placement placement = profile.placement(region, i % Profile.ZONES_PER_REGION);
+      proxyNodes.add(new Node("p" + (i + 1), placement, ports.next()));
     }
     machineListAddress = ports.next();
     machineList = new MachineList(machineListAddress);
@@ -85,14 +85,14 @@
     }
   }
 
-  private Place memberPlace(int database, int index) {
-    return profile.place((database + index) % profile.regions().size(), 0);
+  private Placement memberPlacement(int database, int index) {
+    return profile.placement((database + index) % profile.regions().size(), 0);
   }
 
   private void prepareMember(String database, int databaseIndex, int index) throws IOException {
     String name = "m" + (index + 1);
     HostPort sql = ports.next();
-    Place place = memberPlace(databaseIndex, index);
+    Placement placement = memberPlacement(databaseIndex, index);
     int region = (databaseIndex + index) % profile.regions().size();
     List<String> arguments =
         new ArrayList<>(
@@ -112,18 +112,19 @@
       if (other != index) {
         HostPort target = replication.get(database + '/' + otherName);
         String route = "log:" + database + '/' + name + "->" + otherName;
-        HostPort via = relay(route, place, memberPlace(databaseIndex, other), target);
+        HostPort via = relay(route, placement, memberPlacement(databaseIndex, other), target);
         arguments.add("--peer=" + otherName + "=" + via);
       }
     }
     FleetProcess process =
         new FleetProcess(
             database + "-" + name, MEMBER_HEAP_MB, LabCommand.class, arguments, folder);
-    members.add(new Fleet.MemberHandle(database, name, place, sql, process));
+    members.add(new Fleet.MemberHandle(database, name, placement, sql, process));
   }
 
-  /** Opens a relay from one place to an address at another; returns where to connect. */
-  private HostPort relay(String route, Place from, Place to, HostPort target) throws IOException {
+  /** Opens a relay from one placement to an address at another; returns where to connect. */
+  private HostPort relay(String route, Placement from, Placement to, HostPort target)
+      throws IOException {
     long delay = options.latencies() ? profile.latencyMicros(from, to) : 0;
     return relay(route, delay, target);
   }
@@ -187,7 +188,7 @@
     for (Node to : targets) {
       if (!to.name().equals(from.name())) {
         String route = "link:" + from.name() + "->" + to.name();
-        routeEntry(yaml, to.name(), relay(route, from.place(), to.place(), to.links()));
+        routeEntry(yaml, to.name(), relay(route, from.placement(), to.placement(), to.links()));
       }
     }
   }
@@ -202,8 +203,8 @@
       HostPort metrics = ports.next();
       StringBuilder yaml = new StringBuilder();
       line(yaml, "name", proxy.name());
-      line(yaml, "region", proxy.place().region());
-      line(yaml, "zone", proxy.place().zone());
+      line(yaml, "region", proxy.placement().region());
+      line(yaml, "zone", proxy.placement().zone());
       line(yaml, "dataFolder", folder.resolve("data-" + proxy.name()).toString());
       line(yaml, "callers", callers.toString());
       line(yaml, "links", proxy.links().toString());
@@ -220,7 +221,7 @@
       for (Fleet.MemberHandle member : members) {
         String name = member.database() + '/' + member.member();
         String route = "sql:" + proxy.name() + "->" + name;
-        routeEntry(yaml, name, relay(route, proxy.place(), member.place(), member.sql()));
+        routeEntry(yaml, name, relay(route, proxy.placement(), member.placement(), member.sql()));
       }
       Path file = folder.resolve(proxy.name() + ".yaml");
       Files.writeString(file, yaml);
@@ -235,7 +236,7 @@
       HostPort behindRelay = relay("callers->" + proxy.name(), callerDelay, callers);
       proxies.add(
           new Fleet.ProxyHandle(
-              proxy.name(), proxy.place(), behindRelay, callers, metrics, process));
+              proxy.name(), proxy.placement(), behindRelay, callers, metrics, process));
     }
   }
 
--- a/lab/src/main/java/org/streamcourse/lab/fleet/Profile.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/Profile.java
@@ -1,10 +1,10 @@
 package org.streamcourse.lab.fleet;
 
 import java.util.List;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
 /**
- * The places, sizes and latencies of one of the users.
+ * The placements, sizes and latencies of one of the users.
  *
  * @param name profile's name
  * @param regions region names; each has two zones
@@ -76,25 +76,25 @@
   }
 
   /**
-   * Returns a place.
+   * Returns a placement.
    *
    * @param region index of the region
    * @param zone index of the zone in it
-   * @return place
+   * @return placement
    */
-  public Place place(int region, int zone) {
+  public Placement placement(int region, int zone) {
     String regionName = regions.get(region);
-    return new Place(regionName, regionName + "-" + (zone + 1));
+    return new Placement(regionName, regionName + "-" + (zone + 1));
   }
 
   /**
-   * Returns the one-way latency between two places.
+   * Returns the one-way latency between two placements.
    *
-   * @param from one place
+   * @param from one placement
    * @param to the other
    * @return microseconds
    */
-  public long latencyMicros(Place from, Place to) {
+  public long latencyMicros(Placement from, Placement to) {
     return switch (from.distanceTo(to)) {
       case 0 -> 0;
       case 1 -> zoneMicros;
--- a/lab/src/main/java/org/streamcourse/lab/fleet/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Starts whole fleets of real processes on loopback, with the users' places and sizes. */
+/** Starts whole fleets of real processes on loopback, with the users' placements and sizes. */
 package org.streamcourse.lab.fleet;
--- a/lab/src/main/java/org/streamcourse/lab/scale/HollowGroup.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/HollowGroup.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.streamcourse.process.Worker;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
 /** A database of three hollow members, one in each of three zones. */
 final class HollowGroup {
@@ -12,7 +12,7 @@
 
   private final String name;
   private final Map<String, HollowMember> members = new TreeMap<>();
-  private final Map<String, Place> places = new TreeMap<>();
+  private final Map<String, Placement> placements = new TreeMap<>();
 
   /**
    * Creates a group.
@@ -25,7 +25,7 @@
     for (int i = 0; i < MEMBERS; i++) {
       String member = "m" + (i + 1);
       members.put(member, new HollowMember(member, worker));
-      places.put(member, Zones.place(number + i * Zones.STEP));
+      placements.put(member, Zones.placement(number + i * Zones.STEP));
     }
   }
 
@@ -37,8 +37,8 @@
     return members;
   }
 
-  Place placeOf(String member) {
-    return places.get(member);
+  Placement placementOf(String member) {
+    return placements.get(member);
   }
 
   Optional<HollowMember> member(String member) {
@@ -60,13 +60,13 @@
     StringBuilder sql = new StringBuilder("CREATE GROUP " + name + " MEMBERS (");
     String separator = "";
     for (String member : members.keySet()) {
-      Place place = places.get(member);
+      Placement placement = placements.get(member);
       sql.append(separator)
           .append(member)
           .append(" AT '127.0.0.1:1' REGION ")
-          .append(place.region())
+          .append(placement.region())
           .append(" ZONE ")
-          .append(place.zone())
+          .append(placement.zone())
           .append(" CONNECTIONS 100 SLOTS 10");
       separator = ", ";
     }
--- a/lab/src/main/java/org/streamcourse/lab/scale/HollowNode.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/HollowNode.java
@@ -45,7 +45,7 @@
     network = new TcpPeerNetwork(name, shared.codec(), shared.key(), shared.loops(), addresses);
     NodeImage self =
         new NodeImage(
-            name, System.nanoTime(), links.host(), links.port(), Zones.place(number), false);
+            name, System.nanoTime(), links.host(), links.port(), Zones.placement(number), false);
     node =
         new ProxyNode(
             self,
@@ -90,7 +90,7 @@
   }
 
   String zone() {
-    return node.agent().self().place().zone();
+    return node.agent().self().placement().zone();
   }
 
   void start() {
--- a/lab/src/main/java/org/streamcourse/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/ScaleCommand.java
@@ -266,7 +266,7 @@
 
   /** All nodes and members of one zone end at once. */
   private void zoneLost(ScaleFleet fleet) throws Exception {
-    String zone = Zones.place(1).zone();
+    String zone = Zones.placement(1).zone();
     List<HollowGroup> affected =
         fleet.groups().values().stream().filter(each -> primaryIsIn(each, zone)).toList();
     for (HollowGroup group : fleet.groups().values()) {
@@ -274,7 +274,7 @@
           .members()
           .forEach(
               (name, member) -> {
-                if (group.placeOf(name).zone().equals(zone)) {
+                if (group.placementOf(name).zone().equals(zone)) {
                   member.die();
                 }
               });
@@ -301,7 +301,7 @@
             each ->
                 !each.getValue().isDown()
                     && each.getValue().status().role().name().equals("PRIMARY")
-                    && group.placeOf(each.getKey()).zone().equals(zone));
+                    && group.placementOf(each.getKey()).zone().equals(zone));
   }
 
   private static boolean hasMajority(HollowGroup group) {
--- a/lab/src/main/java/org/streamcourse/lab/scale/Zones.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/Zones.java
@@ -1,8 +1,8 @@
 package org.streamcourse.lab.scale;
 
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
-/** The places of the size to design for: two regions with three zones each. */
+/** The placements of the size to design for: two regions with three zones each. */
 final class Zones {
   /** Number of zones. */
   static final int COUNT = 6;
@@ -14,8 +14,8 @@
 
   private Zones() {}
 
-  static Place place(int number) {
+  static Placement placement(int number) {
     int zone = Math.floorMod(number, COUNT);
-    return new Place("r" + zone % REGIONS, "z" + zone);
+    return new Placement("r" + zone % REGIONS, "z" + zone);
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/Faults.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/Faults.java
@@ -118,7 +118,10 @@
   static void cutPrimaryRegion(World world) {
     world.after(
         soon(world),
-        () -> world.primary().ifPresent(primary -> cutOff(world, primary.host().place().region())));
+        () ->
+            world
+                .primary()
+                .ifPresent(primary -> cutOff(world, primary.host().placement().region())));
   }
 
   static void cutRegion(World world) {
@@ -169,7 +172,7 @@
   private static void silence(World world, String region, long millis) {
     count(world, "proxies-unheard", region);
     for (SimProxy proxy : world.proxies().values()) {
-      if (proxy.host().place().region().equals(region)) {
+      if (proxy.host().placement().region().equals(region)) {
         for (String controller : World.CONTROLLERS) {
           world.network().cut(proxy.host().name(), controller);
           world.network().cut(controller, proxy.host().name());
@@ -192,7 +195,8 @@
                 .primary()
                 .ifPresent(
                     primary ->
-                        silence(world, primary.host().place().region(), LONGEST_OUTAGE_MILLIS)));
+                        silence(
+                            world, primary.host().placement().region(), LONGEST_OUTAGE_MILLIS)));
   }
 
   static void drainUnheard(World world) {
@@ -201,7 +205,7 @@
         () -> {
           Optional<SimMember> replica = firstReplica(world);
           replica.ifPresent(
-              each -> silence(world, each.host().place().region(), LONGEST_OUTAGE_MILLIS));
+              each -> silence(world, each.host().placement().region(), LONGEST_OUTAGE_MILLIS));
           world.after(soon(world), () -> replica.ifPresent(each -> drain(world, each)));
         });
   }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/ServiceWorld.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/ServiceWorld.java
@@ -28,7 +28,7 @@
 import org.streamcourse.version.control.PromotionAgent;
 import org.streamcourse.version.control.ServiceCall;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.RouteConsistency;
 import org.streamcourse.version.image.TenantId;
 import reactor.test.scheduler.VirtualTimeScheduler;
@@ -130,9 +130,9 @@
   }
 
   private SimHost newHost(String name, int region) {
-    Place place = new Place("r" + region, "r" + region + "z");
+    Placement placement = new Placement("r" + region, "r" + region + "z");
     double rate = 1 + (random.nextDouble() - 0.5) * 2 * MAX_CLOCK_DRIFT;
-    SimHost host = new SimHost(name, place, scheduler, rate, e -> checks.taskFailed(name, e));
+    SimHost host = new SimHost(name, placement, scheduler, rate, e -> checks.taskFailed(name, e));
     hosts.put(name, host);
     network.addHost(host);
     return host;
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimHost.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimHost.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.streamcourse.process.Worker;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import reactor.core.Disposable;
 import reactor.core.scheduler.Scheduler;
 
 /**
- * One simulated process: its place, its clock, and whether it runs, is frozen or is dead. Tasks of
- * an earlier run of the process never run after a restart.
+ * One simulated process: its placement, its clock, and whether it runs, is frozen or is dead. Tasks
+ * of an earlier run of the process never run after a restart.
  */
 public final class SimHost {
   private enum State {
@@ -21,7 +21,7 @@
   }
 
   private final String name;
-  private final Place place;
+  private final Placement placement;
   private final Scheduler scheduler;
   private final double clockRate;
   private final Deque<Runnable> frozenTasks = new ArrayDeque<>();
@@ -34,19 +34,19 @@
    * Creates a host that is not running.
    *
    * @param name its name
-   * @param place where it stands
+   * @param placement region and zone
    * @param scheduler virtual clock
    * @param clockRate speed of its clock against the virtual one
    * @param onFailure hears of tasks that end with an exception
    */
   public SimHost(
       String name,
-      Place place,
+      Placement placement,
       Scheduler scheduler,
       double clockRate,
       Consumer<RuntimeException> onFailure) {
     this.name = name;
-    this.place = place;
+    this.placement = placement;
     this.scheduler = scheduler;
     this.clockRate = clockRate;
     this.onFailure = onFailure;
@@ -56,8 +56,8 @@
     return name;
   }
 
-  Place place() {
-    return place;
+  Placement placement() {
+    return placement;
   }
 
   boolean isUp() {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimNetwork.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimNetwork.java
@@ -274,7 +274,7 @@
     SimHost from = hosts.get(pair.from());
     SimHost to = hosts.get(pair.to());
     long base =
-        switch (from.place().distanceTo(to.place())) {
+        switch (from.placement().distanceTo(to.placement())) {
           case 0 -> LOCAL_MICROS;
           case 1 -> conditions.zoneMicros();
           default -> conditions.regionMicros();
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimProxy.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimProxy.java
@@ -51,7 +51,8 @@
     host.boot(this::killed);
     stopping = false;
     Worker worker = host.worker();
-    NodeImage self = new NodeImage(host.name(), host.run(), "127.0.0.1", 1, host.place(), false);
+    NodeImage self =
+        new NodeImage(host.name(), host.run(), "127.0.0.1", 1, host.placement(), false);
     node =
         new ProxyNode(
             self,
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceMember.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceMember.java
@@ -71,7 +71,7 @@
   }
 
   RegisteredMember described() {
-    return new RegisteredMember(id(), host.name(), PORT, host.place().zone(), SLOTS, draining);
+    return new RegisteredMember(id(), host.name(), PORT, host.placement().zone(), SLOTS, draining);
   }
 
   void boot() {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceProxy.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceProxy.java
@@ -38,7 +38,7 @@
 
   void boot() {
     host.boot(this::killed);
-    NodeImage self = new NodeImage(host.name(), 1, host.name(), PORT, host.place(), false);
+    NodeImage self = new NodeImage(host.name(), 1, host.name(), PORT, host.placement(), false);
     node =
         world.newProxyNode(
             host,
--- a/lab/src/main/java/org/streamcourse/lab/simulation/World.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/World.java
@@ -19,7 +19,7 @@
 import org.streamcourse.version.control.AdminResult;
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.GroupImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /** One simulated fleet with its callers, on a virtual clock. */
@@ -107,9 +107,9 @@
   }
 
   private SimHost newHost(String name, int region, int zone) {
-    Place place = new Place("r" + region, "r" + region + "z" + zone);
+    Placement placement = new Placement("r" + region, "r" + region + "z" + zone);
     double rate = 1 + (random.nextDouble() - 0.5) * 2 * MAX_CLOCK_DRIFT;
-    SimHost host = new SimHost(name, place, scheduler, rate, e -> history.taskFailed(name, e));
+    SimHost host = new SimHost(name, placement, scheduler, rate, e -> history.taskFailed(name, e));
     network.addHost(host);
     return host;
   }
@@ -205,15 +205,15 @@
     StringBuilder sql = new StringBuilder("CREATE GROUP " + GROUP + " MEMBERS (");
     String separator = "";
     for (Map.Entry<String, SimMember> member : members.entrySet()) {
-      Place place = member.getValue().host().place();
+      Placement placement = member.getValue().host().placement();
       sql.append(separator)
           .append(member.getKey())
           .append(" AT '")
           .append(addressOf(member.getKey()))
           .append("' REGION ")
-          .append(place.region())
+          .append(placement.region())
           .append(" ZONE ")
-          .append(place.zone())
+          .append(placement.zone())
           .append(" CONNECTIONS ")
           .append(CONNECTION_LIMIT)
           .append(" SLOTS ")
@@ -336,7 +336,7 @@
   }
 
   private static void addIfIn(String region, SimHost host, List<String> names) {
-    if (host.place().region().equals(region)) {
+    if (host.placement().region().equals(region)) {
       names.add(host.name());
     }
   }
--- a/lab/src/main/java/org/streamcourse/lab/workload/DemoCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/DemoCommand.java
@@ -58,14 +58,14 @@
     Fleet.MemberHandle primary = fleet.primary(database);
     say(
         "Primary of '%s' is %s in %s. Killing it now.",
-        database, primary.member(), primary.place().region());
+        database, primary.member(), primary.placement().region());
     long killedAt = System.nanoTime();
     primary.process().kill();
     TimeUnit.SECONDS.sleep(SECONDS_AFTER);
     Fleet.MemberHandle next = fleet.primary(database);
     say(
         "Primary of '%s' is now %s in %s. The old one starts again.",
-        database, next.member(), next.place().region());
+        database, next.member(), next.placement().region());
     primary.process().start();
     TimeUnit.SECONDS.sleep(2);
     callers.stop();
--- a/lab/src/test/java/org/streamcourse/lab/process/FailureTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/FailureTest.java
@@ -145,7 +145,7 @@
   @Test(priority = 3)
   public void primaryIsCutOffWithItsGateways() throws Exception {
     Fleet.MemberHandle primary = fleet.primary(database);
-    Predicate<String> crossing = crossingRoutes(primary.place().region());
+    Predicate<String> crossing = crossingRoutes(primary.placement().region());
     fleet.setCut(crossing, true);
     try {
       awaitOtherPrimary(primary.member());
@@ -174,14 +174,14 @@
   private boolean isIn(String region, String process) {
     if (process.indexOf('/') >= 0) {
       String[] parts = process.split("/");
-      return fleet.member(parts[0], parts[1]).place().region().equals(region);
+      return fleet.member(parts[0], parts[1]).placement().region().equals(region);
     }
     if (process.startsWith("c")) {
       int number = Integer.parseInt(process.substring(1)) - 1;
       return fleet.profile().regions().get(number).equals(region);
     }
     return fleet.proxies().stream()
-        .anyMatch(each -> each.name().equals(process) && each.place().region().equals(region));
+        .anyMatch(each -> each.name().equals(process) && each.placement().region().equals(region));
   }
 
   @Test(priority = 4)
--- a/lab/src/test/java/org/streamcourse/lab/simulation/RestartTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/RestartTest.java
@@ -11,7 +11,7 @@
 import org.streamcourse.version.agreement.AgreementSettings;
 import org.streamcourse.version.control.AdminResult;
 import org.streamcourse.version.control.ControlSettings;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
@@ -27,7 +27,7 @@
   private final SimHost host =
       new SimHost(
           "c1",
-          new Place("r", "z"),
+          new Placement("r", "z"),
           clock,
           1,
           failure -> {
--- a/server/src/main/java/org/streamcourse/connection/member/Departure.java
+++ b/server/src/main/java/org/streamcourse/connection/member/DrainTimer.java
@@ -1,7 +1,7 @@
 package org.streamcourse.connection.member;
 
 /** How long a member has been leaving. */
-final class Departure {
+final class DrainTimer {
   /**
    * Time that a primary which leaves goes on getting work while another takes over; below the time
    * after which a leaving member must get none.
--- a/server/src/main/java/org/streamcourse/connection/member/IdleLinks.java
+++ b/server/src/main/java/org/streamcourse/connection/member/IdleLinks.java
@@ -7,7 +7,7 @@
 /** Open links that no session uses; the one that was used last is handed out first. */
 final class IdleLinks {
   private final Deque<MemberLink> links = new ArrayDeque<>();
-  private final TenantNeeds needs = new TenantNeeds();
+  private final TenantDemand demand = new TenantDemand();
 
   boolean isEmpty() {
     return links.isEmpty();
@@ -34,7 +34,7 @@
 
   void add(MemberLink link) {
     links.addFirst(link);
-    needs.add(link.tenant());
+    demand.add(link.tenant());
   }
 
   void remove(MemberLink link) {
@@ -52,7 +52,7 @@
     MemberLink least = null;
     double leastNeed = Double.MAX_VALUE;
     for (MemberLink link : links) {
-      double need = needs.of(link.tenant()) / of(link.tenant());
+      double need = demand.of(link.tenant()) / of(link.tenant());
       if (need <= leastNeed) {
         leastNeed = need;
         least = link;
--- a/server/src/main/java/org/streamcourse/connection/member/LinkRequest.java
+++ b/server/src/main/java/org/streamcourse/connection/member/LinkRequest.java
@@ -81,9 +81,9 @@
   /**
    * A holder of connections told what it knows of the member; called before its answer is.
    *
-   * @param news what it told
+   * @param observation what it told
    */
-  default void learned(MemberNews news) {}
+  default void learned(MemberObservation observation) {}
 
   /**
    * The member is known to lack the floor for longer than the request may wait; it was asked
--- a/server/src/main/java/org/streamcourse/connection/member/MemberLinks.java
+++ b/server/src/main/java/org/streamcourse/connection/member/MemberLinks.java
@@ -53,8 +53,8 @@
   private RegisteredMember member;
   private final LinkAllowance allowance = new LinkAllowance();
   private boolean retired;
-  private final Departure departure = new Departure();
-  private final MemberKnowledge knowledge;
+  private final DrainTimer drainTimer = new DrainTimer();
+  private final MemberState state;
 
   /**
    * Creates the links of a member; none is opened yet.
@@ -81,7 +81,7 @@
     this.health = new MemberHealth(worker, service + '/' + member.id(), onHealthChange);
     this.dispatcher = new LinkDispatcher(worker, pool, allowance, openings, this::open);
     this.relayed = new RelayedLinks(worker, relay, service, member.id(), dispatcher.slots(), this);
-    this.knowledge = MemberKnowledge.of(worker, this, pool);
+    this.state = MemberState.of(worker, this, pool);
   }
 
   /**
@@ -94,8 +94,8 @@
   }
 
   /** Returns what this node knows of the member beyond its links. */
-  public MemberKnowledge knowledge() {
-    return knowledge;
+  public MemberState state() {
+    return state;
   }
 
   /**
@@ -109,9 +109,9 @@
     tellRole(allowance.share().role(), agreedShare);
     allowance.update(agreedShare);
     dispatcher.slots().update(agreedShare.slots());
-    if (member.draining() && departure.begins(worker.now())) {
+    if (member.draining() && drainTimer.begins(worker.now())) {
       refuseWaiting("the member leaves");
-      worker.schedule(Departure.PRIMARY_MILLIS, this::closeSpare);
+      worker.schedule(DrainTimer.PRIMARY_MILLIS, this::closeSpare);
     }
     closeSpare();
     if (!holdsLinks()) {
@@ -202,7 +202,7 @@
   }
 
   private boolean takesNothing() {
-    return retired || departure.isOver(worker.now());
+    return retired || drainTimer.isOver(worker.now());
   }
 
   /**
--- a/server/src/main/java/org/streamcourse/connection/member/MemberNews.java
+++ b/server/src/main/java/org/streamcourse/connection/member/MemberObservation.java
@@ -13,7 +13,7 @@
  * @param waitMillis expected wait for a connection
  * @param silentMillis how long the member has owed answers and said nothing; 0 when it owes none
  */
-public record MemberNews(
+public record MemberObservation(
     TermPosition position,
     long ageMillis,
     long lagMillis,
--- a/server/src/main/java/org/streamcourse/connection/member/MemberRelay.java
+++ b/server/src/main/java/org/streamcourse/connection/member/MemberRelay.java
@@ -27,15 +27,15 @@
       boolean owned) {}
 
   /** Hears what holders of connections tell of members by themselves. */
-  interface NewsListener {
+  interface ObservationListener {
     /**
      * A holder told what it knows.
      *
      * @param service service of the member
      * @param member the member
-     * @param news what was told
+     * @param observation what was told
      */
-    void told(String service, MemberId member, MemberNews news);
+    void onObservation(String service, MemberId member, MemberObservation observation);
   }
 
   /**
@@ -43,7 +43,7 @@
    *
    * @param listener runs on the proxy's worker
    */
-  default void onNews(NewsListener listener) {}
+  default void setObservationListener(ObservationListener listener) {}
 
   /**
    * Opens a way to a member for one statement or transaction. What is sent on it waits for a
--- a/server/src/main/java/org/streamcourse/connection/member/MemberKnowledge.java
+++ b/server/src/main/java/org/streamcourse/connection/member/MemberState.java
@@ -11,7 +11,7 @@
  *
  * <p>All methods run on the proxy's worker.
  */
-public final class MemberKnowledge {
+public final class MemberState {
   /** Time for which an expected wait is believed; queues of this length change about as fast. */
   private static final long WAIT_TRUSTED_MILLIS = 500;
 
@@ -36,24 +36,23 @@
   private long askedMillis = Long.MIN_VALUE / 2;
 
   /**
-   * Creates knowledge of a member that was not heard of yet.
+   * Creates the state of a member that was not heard of yet.
    *
    * @param clock tells worker time in milliseconds
    * @param waitMillis estimates the wait for one of this node's own links
    * @param oldestUnansweredMillis tells since when the member has owed an answer on this node's own
    *     links, {@link Long#MAX_VALUE} when it owes none
    */
-  public MemberKnowledge(
+  public MemberState(
       LongSupplier clock, LongSupplier waitMillis, LongSupplier oldestUnansweredMillis) {
     this.clock = clock;
     this.waitMillis = waitMillis;
     this.oldestUnansweredMillis = oldestUnansweredMillis;
   }
 
-  /** Creates knowledge of the member at the other end of links. */
-  static MemberKnowledge of(Worker worker, MemberLinks owner, LinkPool pool) {
-    return new MemberKnowledge(
-        worker::now, owner::estimatedWaitMillis, pool::oldestUnansweredMillis);
+  /** Creates the state of the member at the other end of links. */
+  static MemberState of(Worker worker, MemberLinks owner, LinkPool pool) {
+    return new MemberState(worker::now, owner::estimatedWaitMillis, pool::oldestUnansweredMillis);
   }
 
   /**
@@ -100,19 +99,19 @@
   /**
    * A holder of connections told what it knows.
    *
-   * @param news what it told
+   * @param observation what it told
    */
-  public void told(MemberNews news) {
+  public void told(MemberObservation observation) {
     long now = clock.getAsLong();
     toldMillis = now;
-    toldWaitMillis = news.waitMillis();
-    toldSilentMillis = news.silentMillis();
-    if (news.position() != null) {
+    toldWaitMillis = observation.waitMillis();
+    toldSilentMillis = observation.silentMillis();
+    if (observation.position() != null) {
       lag.told(
-          news.position(),
-          now - news.ageMillis(),
-          news.lagMillis(),
-          news.lagGrowth() / SECOND_MILLIS);
+          observation.position(),
+          now - observation.ageMillis(),
+          observation.lagMillis(),
+          observation.lagGrowth() / SECOND_MILLIS);
     }
   }
 
@@ -121,9 +120,9 @@
    *
    * @return what this node knows by its own links
    */
-  public MemberNews news() {
+  public MemberObservation observation() {
     boolean known = lag.position().term() > 0;
-    return new MemberNews(
+    return new MemberObservation(
         known ? lag.position() : null,
         known ? ageMillis() : 0,
         lag.millis(),
--- a/server/src/main/java/org/streamcourse/connection/member/ReplicaProbe.java
+++ b/server/src/main/java/org/streamcourse/connection/member/ReplicaProbe.java
@@ -32,8 +32,8 @@
    * @param reader whose connection is opened where none is idle
    */
   public static void ask(MemberLinks links, TenantId reader) {
-    boolean heard = links.knowledge().ageMillis() < REST_MILLIS;
-    if (!heard && links.isUsable() && links.knowledge().takeTurnToAsk(REST_MILLIS)) {
+    boolean heard = links.state().ageMillis() < REST_MILLIS;
+    if (!heard && links.isUsable() && links.state().takeTurnToAsk(REST_MILLIS)) {
       links.acquire(new ReplicaProbe(links, reader));
     }
   }
@@ -86,7 +86,7 @@
 
   @Override
   public void answered(Answer answer) {
-    links.knowledge().standsAt(answer.position());
+    links.state().standsAt(answer.position());
     links.releaseRolledBack(link);
   }
 
--- a/server/src/main/java/org/streamcourse/connection/member/TenantNeeds.java
+++ b/server/src/main/java/org/streamcourse/connection/member/TenantDemand.java
@@ -5,7 +5,7 @@
 import org.streamcourse.version.image.TenantId;
 
 /** How often each tenant has needed a link lately; what lies back counts less and less. */
-final class TenantNeeds {
+final class TenantDemand {
   /**
    * Uses after which all that was counted is halved: enough for the rare tenants among some 100 to
    * be told apart, and a few seconds of a busy member.
@@ -15,20 +15,20 @@
   /** Below this a tenant is forgotten. */
   private static final double LEAST = 0.01;
 
-  private final Map<TenantId, Double> needs = new HashMap<>();
+  private final Map<TenantId, Double> demands = new HashMap<>();
   private int uses;
 
   void add(TenantId tenant) {
-    needs.merge(tenant, 1.0, Double::sum);
+    demands.merge(tenant, 1.0, Double::sum);
     uses++;
     if (uses % USES_TO_HALVE == 0) {
-      needs.replaceAll((any, need) -> need / 2);
-      needs.values().removeIf(need -> need < LEAST);
+      demands.replaceAll((any, demand) -> demand / 2);
+      demands.values().removeIf(demand -> demand < LEAST);
     }
   }
 
-  /** Need of a tenant, 0 when it had none lately. */
+  /** Demand of a tenant, 0 when it had none lately. */
   double of(TenantId tenant) {
-    return needs.getOrDefault(tenant, 0.0);
+    return demands.getOrDefault(tenant, 0.0);
   }
 }
--- a/server/src/main/java/org/streamcourse/connection/peer/LinkMessage.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/LinkMessage.java
@@ -1,6 +1,6 @@
 package org.streamcourse.connection.peer;
 
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
 /** Messages of the links themselves. */
 public sealed interface LinkMessage {
@@ -13,8 +13,8 @@
    * @param protocolVersion version of the messages
    * @param name name of the process that opened the link
    * @param proof keyed hash of the name, which shows that the sender has the fleet's key
-   * @param place where the sender stands, or null when it was not told
+   * @param placement region and zone of the sender, or null when it was not told
    */
-  record LinkHello(int protocolVersion, String name, byte[] proof, Place place)
+  record LinkHello(int protocolVersion, String name, byte[] proof, Placement placement)
       implements LinkMessage {}
 }
--- a/server/src/main/java/org/streamcourse/connection/peer/PeerDistance.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/PeerDistance.java
@@ -1,6 +1,6 @@
 package org.streamcourse.connection.peer;
 
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
 /** How far a peer stands, which decides what a byte to it costs. */
 public enum PeerDistance {
@@ -31,13 +31,13 @@
   }
 
   /**
-   * Tells how far two places are from each other.
+   * Tells how far two placements are from each other.
    *
-   * @param self a place, or null when it is not known
-   * @param peer another place, or null when it is not known
+   * @param self a placement, or null when it is not known
+   * @param peer another placement, or null when it is not known
    * @return distance
    */
-  public static PeerDistance between(Place self, Place peer) {
+  public static PeerDistance between(Placement self, Placement peer) {
     return self == null || peer == null ? UNKNOWN : BY_RANK[self.distanceTo(peer)];
   }
 }
--- a/server/src/main/java/org/streamcourse/connection/peer/TcpPeerNetwork.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/TcpPeerNetwork.java
@@ -24,7 +24,7 @@
 import org.streamcourse.process.FleetKey;
 import org.streamcourse.process.MessageCodec;
 import org.streamcourse.process.StreamcourseException;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import reactor.netty.Connection;
 import reactor.netty.DisposableServer;
 import reactor.netty.resources.LoopResources;
@@ -64,11 +64,11 @@
   private final Duration silence;
   private final Map<String, Link> links = new ConcurrentHashMap<>();
   private final Set<String> greeted = ConcurrentHashMap.newKeySet();
-  private final Map<String, Place> places = new ConcurrentHashMap<>();
+  private final Map<String, Placement> placements = new ConcurrentHashMap<>();
   private final LinkTraffic traffic = new LinkTraffic();
   private final LinkLog log = new LinkLog();
   private final AtomicLong linkNumbers = new AtomicLong();
-  private volatile Place place;
+  private volatile Placement placement;
   private volatile boolean stopped;
   private final AtomicLong sentBytes = new AtomicLong();
   private final AtomicLong receivedBytes = new AtomicLong();
@@ -123,10 +123,10 @@
   /**
    * Sets where this process stands, which its peers hear in the first message on each link.
    *
-   * @param value place; to be set before the start
+   * @param value region and zone; to be set before the start
    */
-  public void standsAt(Place value) {
-    place = value;
+  public void setPlacement(Placement value) {
+    placement = value;
   }
 
   /**
@@ -209,9 +209,9 @@
     links.computeIfAbsent(peer, Link::new).send(message);
   }
 
-  /** A peer's place is known once it has opened a link to this process. */
+  /** A peer's placement is known once it has opened a link to this process. */
   private PeerDistance distanceTo(String peer) {
-    return PeerDistance.between(place, places.get(peer));
+    return PeerDistance.between(placement, placements.get(peer));
   }
 
   private void accept(Connection connection) {
@@ -262,8 +262,8 @@
       }
       if (message instanceof LinkHello hello && isFromFleet(hello)) {
         peer = hello.name();
-        if (hello.place() != null) {
-          places.put(peer, hello.place());
+        if (hello.placement() != null) {
+          placements.put(peer, hello.placement());
         }
         accepted(peer);
       } else {
@@ -420,7 +420,8 @@
       number = linkNumbers.incrementAndGet();
       openedNanos = System.nanoTime();
       written = 0;
-      LinkHello hello = new LinkHello(LinkMessage.PROTOCOL_VERSION, self, key.sign(self), place);
+      LinkHello hello =
+          new LinkHello(LinkMessage.PROTOCOL_VERSION, self, key.sign(self), placement);
       packer.close();
       packer = new FramePacker();
       List<Outgoing> due = new ArrayList<>(waiting);
--- a/server/src/main/java/org/streamcourse/connection/relay/NodeSurvey.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/PeerProber.java
@@ -13,7 +13,7 @@
  *
  * <p>All methods run on the proxy's worker.
  */
-public final class NodeSurvey {
+public final class PeerProber {
   /** Nodes that are spoken to in one turn. */
   private static final int A_TURN = 3;
 
@@ -24,12 +24,12 @@
   private int next;
 
   /**
-   * Creates a survey.
+   * Creates a prober.
    *
    * @param self name of this node, which is left out
    * @param speak says something to a node
    */
-  public NodeSurvey(String self, Consumer<String> speak) {
+  public PeerProber(String self, Consumer<String> speak) {
     this.self = self;
     this.speak = speak;
   }
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayChannel.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayChannel.java
@@ -212,7 +212,7 @@
 
   void answered(RelayMessage.Answered message) {
     answeredOnce = true;
-    request.learned(message.news());
+    request.learned(message.observation());
     for (Answer answer : message.answers()) {
       unanswered--;
       state = answer.state();
@@ -236,8 +236,8 @@
   }
 
   void refused(RelayMessage.Refused refused) {
-    if (refused.news() != null) {
-      request.learned(refused.news());
+    if (refused.observation() != null) {
+      request.learned(refused.observation());
     }
     // The owner of a member's slots has refused for all holders.
     boolean isFinal = target.owned() && refused.refusal() == RelayMessage.Refusal.BUSY;
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayClient.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayClient.java
@@ -63,7 +63,7 @@
   private final Map<String, Holder> holders = new TreeMap<>();
   private long numbers;
   private long askedOthersMillis = -ASK_OTHERS_MILLIS;
-  private NewsListener newsListener = (service, member, news) -> {};
+  private ObservationListener observationListener = (service, member, observation) -> {};
 
   /**
    * Creates a client that asks nobody yet.
@@ -103,8 +103,8 @@
   }
 
   @Override
-  public void onNews(NewsListener listener) {
-    newsListener = listener;
+  public void setObservationListener(ObservationListener listener) {
+    observationListener = listener;
   }
 
   private List<String> usable(List<String> names) {
@@ -121,7 +121,7 @@
    * Those that have spoken come first; all are asked for a sign of life, since most may be dark.
    */
   private List<String> usableStandIns(List<String> names) {
-    names.forEach(this::askForSignOfLife);
+    names.forEach(this::sendPing);
     List<String> spoken = names.stream().filter(name -> holder(name).established).toList();
     List<String> usable = usable(spoken);
     return usable.isEmpty() ? usable(names) : usable;
@@ -162,7 +162,7 @@
    *
    * @param name name of the node
    */
-  public void askForSignOfLife(String name) {
+  public void sendPing(String name) {
     Holder holder = holder(name);
     if (holder.pingedMillis == NOT_PINGED) {
       ping(name, holder);
@@ -213,7 +213,7 @@
         channel.lost(ended.cause());
       }
     } else if (message instanceof RelayMessage.News told) {
-      newsListener.told(told.service(), told.member(), told.news());
+      observationListener.onObservation(told.service(), told.member(), told.observation());
     }
   }
 
@@ -312,7 +312,7 @@
     holders.forEach(
         (name, holder) -> {
           if (now - holder.heardMillis > SILENCE_MILLIS) {
-            askForSignOfLife(name);
+            sendPing(name);
           }
         });
   }
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayMessage.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import org.streamcourse.connection.member.MemberCommand;
-import org.streamcourse.connection.member.MemberNews;
+import org.streamcourse.connection.member.MemberObservation;
 import org.streamcourse.connection.member.ReadFloor;
 import org.streamcourse.connection.peer.OneWayMessage;
 import org.streamcourse.request.statement.Answer;
@@ -122,9 +122,9 @@
    *
    * @param stream number of the stream
    * @param answers whole answers, in order
-   * @param news what the holder knows of the member
+   * @param observation what the holder knows of the member
    */
-  record Answered(long stream, List<Answer> answers, MemberNews news)
+  record Answered(long stream, List<Answer> answers, MemberObservation observation)
       implements RelayMessage, OneWayMessage {}
 
   /** Why no connection is given. */
@@ -146,9 +146,15 @@
    * @param refusal kind of refusal
    * @param cause text for a person
    * @param retryAfterMillis when there may be a connection
-   * @param news what the holder knows of the member, or null when it holds no connections to it
+   * @param observation what the holder knows of the member, or null when it holds no connections to
+   *     it
    */
-  record Refused(long stream, Refusal refusal, String cause, long retryAfterMillis, MemberNews news)
+  record Refused(
+      long stream,
+      Refusal refusal,
+      String cause,
+      long retryAfterMillis,
+      MemberObservation observation)
       implements RelayMessage, OneWayMessage {}
 
   /**
@@ -170,9 +176,9 @@
    *
    * @param service service of the member
    * @param member the member
-   * @param news what the holder knows
+   * @param observation what the holder knows
    */
-  record News(String service, MemberId member, MemberNews news)
+  record News(String service, MemberId member, MemberObservation observation)
       implements RelayMessage, OneWayMessage {}
 
   /**
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayServer.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayServer.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.streamcourse.connection.member.MemberLinks;
-import org.streamcourse.connection.member.MemberNews;
+import org.streamcourse.connection.member.MemberObservation;
 import org.streamcourse.connection.peer.PeerNetwork;
 import org.streamcourse.process.Worker;
 import org.streamcourse.request.routing.RequestLog;
@@ -31,8 +31,8 @@
   private static final long GONE_MILLIS = 1_500;
 
   /**
-   * Time for which a sender is told news of members. With 86 nodes, 6 databases and 4 holders of
-   * each member, a node asks a given holder every 12 s.
+   * Time for which a sender is sent observations of members. With 86 nodes, 6 databases and 4
+   * holders of each member, a node asks a given holder every 12 s.
    */
   private static final long SENDER_KEPT_MILLIS = 30_000;
 
@@ -129,12 +129,14 @@
    *
    * @param service service of the member
    * @param member the member
-   * @param news what is known
+   * @param observation what is known
    */
-  public void tellNews(String service, MemberId member, MemberNews news) {
+  public void sendObservation(String service, MemberId member, MemberObservation observation) {
     long now = worker.now();
     senders.values().removeIf(opened -> now - opened > SENDER_KEPT_MILLIS);
-    senders.keySet().forEach(name -> send(name, new RelayMessage.News(service, member, news)));
+    senders
+        .keySet()
+        .forEach(name -> send(name, new RelayMessage.News(service, member, observation)));
   }
 
   private void open(String sender, RelayMessage.Open open) {
@@ -157,9 +159,11 @@
       RelayMessage.Refusal refusal,
       String cause,
       long retryAfterMillis,
-      MemberNews news) {
+      MemberObservation observation) {
     log.refusedForOther(open, sender, cause);
-    send(sender, new RelayMessage.Refused(open.stream(), refusal, cause, retryAfterMillis, news));
+    send(
+        sender,
+        new RelayMessage.Refused(open.stream(), refusal, cause, retryAfterMillis, observation));
   }
 
   /** Tells that a stream ends with an answer owed. */
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayTypes.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayTypes.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.streamcourse.connection.member.MemberCommand;
-import org.streamcourse.connection.member.MemberNews;
+import org.streamcourse.connection.member.MemberObservation;
 import org.streamcourse.connection.member.ReadFloor;
 import org.streamcourse.request.statement.Answer;
 import org.streamcourse.request.statement.AnswerCode;
@@ -35,7 +35,7 @@
           RelayMessage.Ping.class,
           RelayMessage.Pong.class,
           ReadFloor.class,
-          MemberNews.class,
+          MemberObservation.class,
           RelayMessage.News.class,
           RelayMessage.Withdraw.class);
 
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayedFloor.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayedFloor.java
@@ -1,6 +1,6 @@
 package org.streamcourse.connection.relay;
 
-import org.streamcourse.connection.member.MemberKnowledge;
+import org.streamcourse.connection.member.MemberState;
 import org.streamcourse.connection.member.ReadFloor;
 
 /**
@@ -15,7 +15,7 @@
   private static final int MOST_ASKED = 2;
 
   private final ReadFloor floor;
-  private final MemberKnowledge knowledge;
+  private final MemberState state;
   private final long arrivedMillis;
   private int asked;
 
@@ -23,15 +23,15 @@
    * Creates the wait of one stream.
    *
    * @param floor what the read needs, or null for work that needs nothing
-   * @param knowledge what is known of the member
+   * @param state what is known of the member
    * @param now present time
    */
-  RelayedFloor(ReadFloor floor, MemberKnowledge knowledge, long now) {
+  RelayedFloor(ReadFloor floor, MemberState state, long now) {
     this.floor = floor;
-    this.knowledge = knowledge;
+    this.state = state;
     this.arrivedMillis = now;
     if (floor != null) {
-      knowledge.primaryHad(floor.position(), floor.ageMillis());
+      state.primaryHad(floor.position(), floor.ageMillis());
     }
   }
 
@@ -41,7 +41,7 @@
 
   /** Expected time until the member can serve the read, in milliseconds. */
   long untilServed(long now) {
-    return floor == null ? 0 : knowledge.untilServes(asOf(now));
+    return floor == null ? 0 : state.untilServes(asOf(now));
   }
 
   /** Whether the caller is served sooner elsewhere than after a wait. */
@@ -55,7 +55,7 @@
       return false;
     }
     ReadFloor present = asOf(now);
-    knowledge.lacks(present);
+    state.lacks(present);
     asked++;
     return asked < MOST_ASKED && !isTooLate(untilServed(now), now);
   }
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayedWork.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayedWork.java
@@ -52,7 +52,7 @@
     this.values = open.values();
     this.lastMillis = server.now();
     this.untilMillis = lastMillis + open.maxWaitMillis();
-    this.floor = new RelayedFloor(open.floor(), links.knowledge(), server.now());
+    this.floor = new RelayedFloor(open.floor(), links.state(), server.now());
     steps.addAll(open.steps());
   }
 
@@ -156,7 +156,7 @@
   private void refuse(RelayMessage.Refusal refusal, String cause, long retryAfterMillis) {
     ended = true;
     server.forget(sender, open.stream());
-    server.refuse(sender, open, refusal, cause, retryAfterMillis, links.knowledge().news());
+    server.refuse(sender, open, refusal, cause, retryAfterMillis, links.state().observation());
   }
 
   // ---- steps ----
@@ -233,7 +233,7 @@
     public void answered(Answer answer) {
       working = false;
       lastMillis = server.now();
-      links.knowledge().heard(answer.position());
+      links.state().heard(answer.position());
       if (ended) {
         return;
       }
@@ -276,7 +276,8 @@
       begun = true;
       server.send(
           sender,
-          new RelayMessage.Answered(open.stream(), List.copyOf(answers), links.knowledge().news()));
+          new RelayMessage.Answered(
+              open.stream(), List.copyOf(answers), links.state().observation()));
       answers.clear();
     }
 
--- a/server/src/main/java/org/streamcourse/process/LateSerializer.java
+++ b/server/src/main/java/org/streamcourse/process/LazySerializer.java
@@ -10,11 +10,11 @@
  * it knows; creating the serializers of all of them costs a process that starts 13 to 19 ms of
  * processor time before its first message (on a cold process, three runs each way).
  */
-final class LateSerializer extends Serializer<Object> {
+final class LazySerializer extends Serializer<Object> {
   private final Class<?> type;
   private Serializer<Object> created;
 
-  LateSerializer(Class<?> type) {
+  LazySerializer(Class<?> type) {
     this.type = type;
   }
 
--- a/server/src/main/java/org/streamcourse/process/MessageCodec.java
+++ b/server/src/main/java/org/streamcourse/process/MessageCodec.java
@@ -74,7 +74,7 @@
         // Its own serializer writes what is missing in another form than others do.
         kryo.register(type, number);
       } else {
-        kryo.register(type, new LateSerializer(type), number);
+        kryo.register(type, new LazySerializer(type), number);
       }
       number++;
     }
--- a/server/src/main/java/org/streamcourse/process/ProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ProxyProcess.java
@@ -27,7 +27,7 @@
 import org.streamcourse.version.image.GroupImage;
 import org.streamcourse.version.image.MemberImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import reactor.netty.resources.LoopResources;
 
 /** The process of a proxy: its node with sockets, disk and threads. */
@@ -75,15 +75,15 @@
     MessageCodec codec = StreamTypes.codec();
     FleetKey key = new FleetKey(settings.fleetKey());
     network = new TcpPeerNetwork(settings.name(), codec, key, loops, this::addressOf, LINK_SILENCE);
-    Place place = new Place(settings.region(), settings.zone());
-    network.standsAt(place);
+    Placement placement = new Placement(settings.region(), settings.zone());
+    network.setPlacement(placement);
     NodeImage self =
         new NodeImage(
             settings.name(),
             System.currentTimeMillis(),
             settings.links().host(),
             settings.links().port(),
-            place,
+            placement,
             false);
     TcpMemberConnector connector =
         new TcpMemberConnector(
--- a/server/src/main/java/org/streamcourse/process/ServiceControllerProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ServiceControllerProcess.java
@@ -60,7 +60,7 @@
             loop,
             ControllerAddresses::addressOf,
             ControllerAddresses.LINK_SILENCE);
-    network.standsAt(settings.place());
+    network.setPlacement(settings.placement());
     disk = new FolderDisk(Path.of(settings.dataFolder()));
     node =
         new ControllerNode(
@@ -75,7 +75,7 @@
             ControlSettings.DEFAULT.withQuotas(settings.quotas()),
             new SecureRandom(),
             new ServiceAgents(promotionAgent, probe(loop, memberProtocol)));
-    node.controller().standsAt(settings.place());
+    node.controller().setPlacement(settings.placement());
     metrics = settings.metrics() == null ? null : metrics();
   }
 
--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -8,17 +8,17 @@
 import org.streamcourse.connection.member.MemberLinks;
 import org.streamcourse.connection.peer.PeerHandler;
 import org.streamcourse.connection.peer.PeerNetwork;
-import org.streamcourse.connection.relay.NodeSurvey;
+import org.streamcourse.connection.relay.PeerProber;
 import org.streamcourse.connection.relay.RelayClient;
 import org.streamcourse.connection.relay.RelayMessage;
 import org.streamcourse.connection.relay.RelayServer;
 import org.streamcourse.connection.session.ClientChannel;
 import org.streamcourse.connection.session.ClientSession;
 import org.streamcourse.connection.session.SessionNode;
-import org.streamcourse.request.quota.HomeMessage;
-import org.streamcourse.request.quota.HomeOrder;
-import org.streamcourse.request.quota.HomedQuotas;
-import org.streamcourse.request.quota.QuotaPace;
+import org.streamcourse.request.quota.QuotaClient;
+import org.streamcourse.request.quota.QuotaMessage;
+import org.streamcourse.request.quota.QuotaPacing;
+import org.streamcourse.request.quota.QuotaServerOrder;
 import org.streamcourse.request.quota.QuotaSettings;
 import org.streamcourse.request.quota.TenantQuotas;
 import org.streamcourse.request.routing.MemberTable;
@@ -62,9 +62,9 @@
   private final RequestLog log;
   private final RelayClient relayClient;
   private final RelayServer relayServer;
-  private final NodeSurvey survey;
+  private final PeerProber peerProber;
   private final TenantQuotas ownQuotas;
-  private final HomedQuotas quotas;
+  private final QuotaClient quotas;
   private final Set<ClientSession> sessions = new LinkedHashSet<>();
   private volatile boolean mayServe;
   private volatile boolean stopping;
@@ -100,7 +100,7 @@
     this.log = log;
     this.relayClient = new RelayClient(worker, network, lastStream);
     this.table = new MemberTable(worker, dialer, relayClient, self);
-    this.survey = new NodeSurvey(self.name(), relayClient::askForSignOfLife);
+    this.peerProber = new PeerProber(self.name(), relayClient::sendPing);
     this.relayServer = new RelayServer(worker, network, table::held, this::longestRestMillis, log);
     this.agent =
         new NodeAgent(
@@ -108,22 +108,22 @@
     this.ownQuotas =
         new TenantQuotas(
             worker,
-            QuotaPace.of(quotaSettings.windowMillis()),
+            QuotaPacing.of(quotaSettings.windowMillis()),
             self.name(),
             lastStream,
             () -> agent.wasConfirmedWithin(QuotaPlanner.HOLD_MILLIS),
             agent::tellController);
     this.quotas =
-        new HomedQuotas(
+        new QuotaClient(
             worker,
             network,
             ownQuotas,
             self.name(),
-            new HomeOrder(HomeOrder.Scope.REGION, self.place()),
+            new QuotaServerOrder(QuotaServerOrder.Scope.REGION, self.placement()),
             agent::image,
             lastStream);
     table.onHealthChange(this::reportAllMembers);
-    table.onNews(relayServer::tellNews);
+    table.setObservationListener(relayServer::sendObservation);
     agent.onImage(table::update);
     agent.onConfirmed(() -> mayServe = true);
     agent.onConfirmed(quotas::confirmed);
@@ -158,7 +158,7 @@
     relayClient.check();
     quotas.check();
     if (agent.isCutOff()) {
-      survey.takeTurn(image());
+      peerProber.takeTurn(image());
     }
   }
 
@@ -291,7 +291,7 @@
   }
 
   @Override
-  public HomedQuotas quotas() {
+  public QuotaClient quotas() {
     return quotas;
   }
 
@@ -327,8 +327,8 @@
       ownQuotas.receive(news);
       return;
     }
-    if (message instanceof HomeMessage home) {
-      quotas.receive(peer, home);
+    if (message instanceof QuotaMessage quotaMessage) {
+      quotas.receive(peer, quotaMessage);
       return;
     }
     if (!(message instanceof RelayMessage relayed)) {
--- a/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
@@ -17,7 +17,7 @@
 import org.streamcourse.request.StreamTypes;
 import org.streamcourse.request.routing.RequestLog;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
 /** The process of a proxy for services whose members register themselves. */
 public final class StatementProxyProcess {
@@ -73,12 +73,17 @@
             loop,
             ControllerAddresses::addressOf,
             ControllerAddresses.LINK_SILENCE);
-    Place place = new Place(settings.region(), settings.zone());
-    network.standsAt(place);
+    Placement placement = new Placement(settings.region(), settings.zone());
+    network.setPlacement(placement);
     Worker worker = loop.worker();
     NodeImage self =
         new NodeImage(
-            name, ONLY_INCARNATION, settings.links().host(), settings.links().port(), place, false);
+            name,
+            ONLY_INCARNATION,
+            settings.links().host(),
+            settings.links().port(),
+            placement,
+            false);
     RequestLog log =
         new RequestLog(
             new LineBudget(settings.linesPerSecond(), worker::now), settings.sampleEvery());
--- a/server/src/main/java/org/streamcourse/process/settings/ServiceControllerSettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/ServiceControllerSettings.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.streamcourse.process.settings.CommonSettings.User;
 import org.streamcourse.request.quota.QuotaSettings;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
 /**
  * Settings file of a controller for services whose members register themselves.
@@ -92,10 +92,10 @@
   /**
    * Returns where the controller stands.
    *
-   * @return place, or null when it was not told
+   * @return placement, or null when it was not told
    */
-  public Place place() {
-    return region == null || zone == null ? null : new Place(region, zone);
+  public Placement placement() {
+    return region == null || zone == null ? null : new Placement(region, zone);
   }
 
   /**
--- a/server/src/main/java/org/streamcourse/request/edge/EdgeNode.java
+++ b/server/src/main/java/org/streamcourse/request/edge/EdgeNode.java
@@ -83,7 +83,7 @@
     this.fleetKey = fleetKey;
     this.random = random;
     this.failuresTold = new LineBudget(TOLD_PER_SECOND, worker::now);
-    this.scores = new MemberScores(agent.self().place());
+    this.scores = new MemberScores(agent.self().placement());
     this.router = new ReadRouter(policy, scores, random);
     this.floorReader = new FloorReader(worker, network, this);
     agent.onImage(waiting::imageChanged);
--- a/server/src/main/java/org/streamcourse/request/edge/MemberScores.java
+++ b/server/src/main/java/org/streamcourse/request/edge/MemberScores.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import org.streamcourse.version.image.MemberImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.TermPosition;
 
 /**
@@ -21,9 +21,9 @@
   private record Score(double latencyMillis, long shunnedUntil, TermPosition applied, long at) {}
 
   private final Map<String, Score> scores = new ConcurrentHashMap<>();
-  private final Place self;
+  private final Placement self;
 
-  MemberScores(Place self) {
+  MemberScores(Placement self) {
     this.self = self;
   }
 
@@ -32,7 +32,8 @@
   }
 
   private Score initial(MemberImage member) {
-    return new Score(FIRST_GUESS_MILLIS[self.distanceTo(member.place())], 0, TermPosition.ZERO, 0);
+    return new Score(
+        FIRST_GUESS_MILLIS[self.distanceTo(member.placement())], 0, TermPosition.ZERO, 0);
   }
 
   /** Expected cost of a read with a floor; members that are likely to refuse come later. */
--- a/server/src/main/java/org/streamcourse/request/quota/LocalQuota.java
+++ b/server/src/main/java/org/streamcourse/request/quota/LocalQuota.java
@@ -6,9 +6,9 @@
 
 /**
  * What this node may run of one tenant's operations: a share of the tenant's limit, counted in any
- * window of time and used at a {@link QuotaPace}.
+ * window of time and used at a {@link QuotaPacing}.
  *
- * <p>Invariants: no span of time holds more operations of this run than the pace allows for its
+ * <p>Invariants: no span of time holds more operations of this run than the pacing allows for its
  * share at the span's end, and no window more than the share; the share rises only by the
  * controllers' word, and what is given up by {@link #held} stays given up.
  *
@@ -20,7 +20,7 @@
   /** Time between looks at when a run that has just started may use more of what it inherited. */
   private static final long START_STEP_MILLIS = 20;
 
-  private final QuotaPace pace;
+  private final QuotaPacing pacing;
   private final long windowMillis;
   private final long startedMillis;
   private final Deque<Long> ran = new ArrayDeque<>();
@@ -36,12 +36,12 @@
   /**
    * Creates a quota without a share.
    *
-   * @param pace how fast a share may be used
+   * @param pacing how fast a share may be used
    * @param startedMillis time at which this run of the node began
    */
-  public LocalQuota(QuotaPace pace, long startedMillis) {
-    this.pace = pace;
-    this.windowMillis = pace.windowMillis();
+  public LocalQuota(QuotaPacing pacing, long startedMillis) {
+    this.pacing = pacing;
+    this.windowMillis = pacing.windowMillis();
     this.startedMillis = startedMillis;
     this.tokensAtMillis = startedMillis;
   }
@@ -121,7 +121,7 @@
     Iterator<Long> newestFirst = ran.descendingIterator();
     while (newestFirst.hasNext()) {
       counted++;
-      needed = Math.max(needed, pace.needed(counted, now - newestFirst.next()));
+      needed = Math.max(needed, pacing.needed(counted, now - newestFirst.next()));
     }
     return needed;
   }
@@ -172,7 +172,7 @@
     refill(now);
     boolean ofStart =
         !startsWithLess(now)
-            || after <= pace.sinceStart(operations, inherited, now - startedMillis);
+            || after <= pacing.sinceStart(operations, inherited, now - startedMillis);
     return !dropped && after <= held(now) && tokens >= wanted && ofStart;
   }
 
@@ -181,22 +181,22 @@
   }
 
   private void refill(long now) {
-    double refilled = tokens + pace.perMilli(operations) * (now - tokensAtMillis);
-    tokens = Math.min(pace.burst(operations), refilled);
+    double refilled = tokens + pacing.perMilli(operations) * (now - tokensAtMillis);
+    tokens = Math.min(pacing.burst(operations), refilled);
     tokensAtMillis = now;
   }
 
   /** What the bucket would hold if it had had its present size through the last window. */
   private void recountTokens(long now) {
     used(now);
-    double burst = pace.burst(operations);
+    double burst = pacing.burst(operations);
     double left = burst;
     int counted = 0;
     Iterator<Long> newestFirst = ran.descendingIterator();
     while (newestFirst.hasNext()) {
       counted++;
       long span = now - newestFirst.next();
-      left = Math.min(left, burst + pace.perMilli(operations) * span - counted);
+      left = Math.min(left, burst + pacing.perMilli(operations) * span - counted);
     }
     tokens = left;
     tokensAtMillis = now;
@@ -229,7 +229,7 @@
       return windowMillis;
     }
     double lacking = Math.max(0, wanted - tokens);
-    long millis = (long) Math.ceil(lacking / pace.perMilli(operations));
+    long millis = (long) Math.ceil(lacking / pacing.perMilli(operations));
     return Math.min(windowMillis, Math.max(millis, Math.max(ofWindow(wanted, now), ofStart(now))));
   }
 
@@ -249,7 +249,7 @@
     long millis = 0;
     int after = used(now) + 1;
     while (startsWithLess(now + millis)
-        && pace.sinceStart(operations, inherited, now + millis - startedMillis) < after) {
+        && pacing.sinceStart(operations, inherited, now + millis - startedMillis) < after) {
       millis += START_STEP_MILLIS;
     }
     return millis;
--- a/server/src/main/java/org/streamcourse/request/quota/HomedQuotas.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaClient.java
@@ -13,16 +13,16 @@
 import reactor.core.Disposable;
 
 /**
- * Has a tenant's operations counted at few nodes, its homes, so that a limit is divided into few
- * shares. An operation goes to the home of its node's region; where that one is silent, or has no
- * room and can't get any, the next home is asked with what that one may do. This node counts itself
- * for the tenants whose home it is.
+ * Has a tenant's operations counted at few nodes, its quota servers, so that a limit is divided
+ * into few shares. An operation goes to the quota server of its node's region; where that one is
+ * silent, or has no room and can't get any, the next quota server is asked with what that one may
+ * do. This node counts itself for the tenants whose quota server it is.
  *
  * <p>Whether the controllers have confirmed this node does not matter for what others count.
  *
  * <p>All methods run on the proxy's worker.
  */
-public final class HomedQuotas implements OperationLimits {
+public final class QuotaClient implements OperationLimits {
   /**
    * Longest time for which operations of a tenant that has used up its limit are refused without
    * asking; its share may change meanwhile.
@@ -33,8 +33,9 @@
   private static final int NUMBER_BITS = 20;
 
   /**
-   * A tenant that has used up its limit. The home is asked again after half of the time at which it
-   * has room again, so that some operations wait there by then, and no room is left unused.
+   * A tenant that has used up its limit. The quota server is asked again after half of the time at
+   * which it has room again, so that some operations wait there by then, and no room is left
+   * unused.
    */
   private record Closed(QuotaRefusal refusal, long sinceMillis) {
     private long untilMillis() {
@@ -49,14 +50,14 @@
   private final Worker worker;
   private final String self;
   private final TenantQuotas own;
-  private final HomeOrder order;
+  private final QuotaServerOrder order;
   private final Supplier<ClusterImage> image;
-  private final HomeOutbox outbox;
-  private final HomePeers peers;
-  private final HomeServer server;
+  private final QuotaOutbox outbox;
+  private final QuotaServerHealth health;
+  private final QuotaServer server;
   private final QuotaCounts counts = new QuotaCounts();
-  private final Map<Integer, HomedOperation> open = new HashMap<>();
-  private final Map<Integer, String> homeOf = new HashMap<>();
+  private final Map<Integer, QuotaOperation> open = new HashMap<>();
+  private final Map<Integer, String> quotaServerOf = new HashMap<>();
   private final Map<TenantId, Closed> closed = new HashMap<>();
   private int lastNumber;
 
@@ -67,16 +68,16 @@
    * @param network way to the other nodes
    * @param own shares of this node
    * @param self name of this node
-   * @param order which nodes are homes
+   * @param order which nodes are quota servers
    * @param image the image in force
    * @param run number of this run of the node; far from those of other runs
    */
-  public HomedQuotas(
+  public QuotaClient(
       Worker worker,
       PeerNetwork network,
       TenantQuotas own,
       String self,
-      HomeOrder order,
+      QuotaServerOrder order,
       Supplier<ClusterImage> image,
       long run) {
     this.worker = worker;
@@ -84,9 +85,9 @@
     this.own = own;
     this.order = order;
     this.image = image;
-    this.outbox = new HomeOutbox(worker, network);
-    this.peers = new HomePeers(worker, outbox);
-    this.server = new HomeServer(worker, outbox, own, image);
+    this.outbox = new QuotaOutbox(worker, network);
+    this.health = new QuotaServerHealth(worker, outbox);
+    this.server = new QuotaServer(worker, outbox, own, image);
     this.lastNumber = (int) (run & ((1 << NUMBER_BITS) - 1));
   }
 
@@ -105,12 +106,12 @@
   }
 
   /**
-   * Returns how often a home was found silent.
+   * Returns how often a quota server was found silent.
    *
    * @return count since the start; safe from any thread
    */
   public long suspicions() {
-    return peers.suspicions();
+    return health.suspicions();
   }
 
   @Override
@@ -122,8 +123,8 @@
     if (refusesAtOnce(rule.id(), request)) {
       return () -> {};
     }
-    List<String> homes = order.of(image.get().nodes(), rule.id());
-    HomedOperation operation = new HomedOperation(this, rule, request, homes);
+    List<String> quotaServers = order.of(image.get().nodes(), rule.id());
+    QuotaOperation operation = new QuotaOperation(this, rule, request, quotaServers);
     operation.start();
     return operation::cancel;
   }
@@ -150,39 +151,39 @@
    * @param sender name of the node
    * @param message what arrived
    */
-  public void receive(String sender, HomeMessage message) {
-    if (message instanceof HomeMessage.Ask ask) {
+  public void receive(String sender, QuotaMessage message) {
+    if (message instanceof QuotaMessage.Ask ask) {
       server.receive(sender, ask);
-    } else if (message instanceof HomeMessage.NotRun notRun) {
+    } else if (message instanceof QuotaMessage.NotRun notRun) {
       server.receive(sender, notRun);
     } else {
-      peers.heard(sender);
+      health.heard(sender);
       decided(sender, message);
     }
   }
 
-  private void decided(String home, HomeMessage message) {
-    if (message instanceof HomeMessage.Admitted admitted) {
+  private void decided(String quotaServer, QuotaMessage message) {
+    if (message instanceof QuotaMessage.Admitted admitted) {
       for (int number : admitted.numbers()) {
-        HomedOperation operation = remove(number, home);
+        QuotaOperation operation = remove(number, quotaServer);
         if (operation != null) {
-          operation.admittedThere(() -> outbox.notRun(home, number));
+          operation.admittedThere(() -> outbox.notRun(quotaServer, number));
         }
       }
-    } else if (message instanceof HomeMessage.Waits waits) {
+    } else if (message instanceof QuotaMessage.Waits waits) {
       for (int number : waits.numbers()) {
-        if (home.equals(homeOf.get(number))) {
+        if (quotaServer.equals(quotaServerOf.get(number))) {
           open.get(number).waitsThere();
         }
       }
-    } else if (message instanceof HomeMessage.Refused refused) {
-      HomedOperation operation = remove(refused.number(), home);
+    } else if (message instanceof QuotaMessage.Refused refused) {
+      QuotaOperation operation = remove(refused.number(), quotaServer);
       if (operation != null) {
         operation.refused(
             new QuotaRefusal(
                 operation.tenant(),
                 refused.reason(),
-                home,
+                quotaServer,
                 refused.used(),
                 refused.share(),
                 refused.retryAfterMillis()));
@@ -190,8 +191,8 @@
     }
   }
 
-  private HomedOperation remove(int number, String home) {
-    return homeOf.remove(number, home) ? open.remove(number) : null;
+  private QuotaOperation remove(int number, String quotaServer) {
+    return quotaServerOf.remove(number, quotaServer) ? open.remove(number) : null;
   }
 
   /**
@@ -202,7 +203,7 @@
    */
   public void linkLost(String peer) {
     server.linkLost(peer);
-    loseHome(peer);
+    loseQuotaServer(peer);
   }
 
   /**
@@ -212,33 +213,33 @@
    * @param messages what was dropped on the way to it
    */
   public void undelivered(String peer, List<Object> messages) {
-    if (homeOf.containsValue(peer)) {
-      peers.suspect(peer, "no link comes about");
+    if (quotaServerOf.containsValue(peer)) {
+      health.suspect(peer, "no link comes about");
     }
     for (Object message : messages) {
-      if (message instanceof HomeMessage.Ask ask) {
+      if (message instanceof QuotaMessage.Ask ask) {
         for (int i = 0; i < ask.tenants().size(); i++) {
-          loseHome(peer, ask.firstNumber() + i);
+          loseQuotaServer(peer, ask.firstNumber() + i);
         }
       }
     }
   }
 
-  private void loseHome(String peer) {
+  private void loseQuotaServer(String peer) {
     List<Integer> lost = new ArrayList<>();
-    homeOf.forEach(
-        (number, home) -> {
-          if (home.equals(peer)) {
+    quotaServerOf.forEach(
+        (number, quotaServer) -> {
+          if (quotaServer.equals(peer)) {
             lost.add(number);
           }
         });
-    lost.forEach(number -> loseHome(peer, number));
+    lost.forEach(number -> loseQuotaServer(peer, number));
   }
 
-  private void loseHome(String peer, int number) {
-    HomedOperation operation = remove(number, peer);
+  private void loseQuotaServer(String peer, int number) {
+    QuotaOperation operation = remove(number, peer);
     if (operation != null) {
-      operation.homeLost();
+      operation.quotaServerLost();
     }
   }
 
@@ -247,11 +248,11 @@
     own.confirmed();
   }
 
-  /** Looks after waiting operations, reports and silent homes; to be called regularly. */
+  /** Looks after waiting operations, reports and silent quota servers; to be called regularly. */
   public void check() {
     own.check();
     server.check();
-    peers.check(node -> image.get().nodes().containsKey(node));
+    health.check(node -> image.get().nodes().containsKey(node));
     long now = worker.now();
     closed.values().removeIf(each -> now >= each.untilMillis());
   }
@@ -270,12 +271,12 @@
     return self.equals(node);
   }
 
-  boolean isSuspected(String home) {
-    return peers.isSuspected(home);
+  boolean isSuspected(String quotaServer) {
+    return health.isSuspected(quotaServer);
   }
 
-  void silentSince(String home, long askedMillis) {
-    peers.silentSince(home, askedMillis);
+  void silentSince(String quotaServer, long askedMillis) {
+    health.silentSince(quotaServer, askedMillis);
   }
 
   Disposable schedule(long millis, Runnable task) {
@@ -286,19 +287,19 @@
     return own.admit(rule, request);
   }
 
-  /** Asks a home; returns the operation's number there. */
-  int ask(String home, HomedOperation operation) {
+  /** Asks a quota server; returns the operation's number there. */
+  int ask(String quotaServer, QuotaOperation operation) {
     lastNumber++;
     open.put(lastNumber, operation);
-    homeOf.put(lastNumber, home);
-    outbox.ask(home, lastNumber, operation.tenant());
+    quotaServerOf.put(lastNumber, quotaServer);
+    outbox.ask(quotaServer, lastNumber, operation.tenant());
     return lastNumber;
   }
 
-  /** The operation does not run by what this home decides, or has decided. */
-  void leave(String home, int number) {
-    if (remove(number, home) != null) {
-      outbox.notRun(home, number);
+  /** The operation does not run by what this quota server decides, or has decided. */
+  void leave(String quotaServer, int number) {
+    if (remove(number, quotaServer) != null) {
+      outbox.notRun(quotaServer, number);
     }
   }
 
--- a/server/src/main/java/org/streamcourse/request/quota/HomeOutbox.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaOutbox.java
@@ -14,7 +14,7 @@
  *
  * <p>All methods run on the proxy's worker.
  */
-final class HomeOutbox {
+final class QuotaOutbox {
   /** What is to be sent to one node. */
   private static final class Batch {
     private final List<TenantId> asked = new ArrayList<>();
@@ -28,16 +28,16 @@
   private final PeerNetwork network;
   private final Map<String, Batch> batches = new LinkedHashMap<>();
 
-  HomeOutbox(Worker worker, PeerNetwork network) {
+  QuotaOutbox(Worker worker, PeerNetwork network) {
     this.worker = worker;
     this.network = network;
   }
 
-  /** Asks a home; numbers that do not follow one another go in messages of their own. */
-  void ask(String home, int number, TenantId tenant) {
-    Batch batch = batch(home);
+  /** Asks a quota server; numbers that do not follow one another go in messages of their own. */
+  void ask(String quotaServer, int number, TenantId tenant) {
+    Batch batch = batch(quotaServer);
     if (!batch.asked.isEmpty() && number != batch.firstAsked + batch.asked.size()) {
-      sendAsked(home, batch);
+      sendAsked(quotaServer, batch);
     }
     if (batch.asked.isEmpty()) {
       batch.firstAsked = number;
@@ -45,8 +45,8 @@
     batch.asked.add(tenant);
   }
 
-  void notRun(String home, int number) {
-    batch(home).notRun.add(number);
+  void notRun(String quotaServer, int number) {
+    batch(quotaServer).notRun.add(number);
   }
 
   void admitted(String node, int number) {
@@ -58,7 +58,7 @@
   }
 
   /** Sends at once; these are few, or come from one tenant that wants more than its limit. */
-  void send(String node, HomeMessage message) {
+  void send(String node, QuotaMessage message) {
     network.send(node, message);
   }
 
@@ -80,18 +80,18 @@
       sendAsked(node, batch);
     }
     if (!batch.admitted.isEmpty()) {
-      network.send(node, new HomeMessage.Admitted(numbers(batch.admitted)));
+      network.send(node, new QuotaMessage.Admitted(numbers(batch.admitted)));
     }
     if (!batch.waits.isEmpty()) {
-      network.send(node, new HomeMessage.Waits(numbers(batch.waits)));
+      network.send(node, new QuotaMessage.Waits(numbers(batch.waits)));
     }
     if (!batch.notRun.isEmpty()) {
-      network.send(node, new HomeMessage.NotRun(numbers(batch.notRun)));
+      network.send(node, new QuotaMessage.NotRun(numbers(batch.notRun)));
     }
   }
 
-  private void sendAsked(String home, Batch batch) {
-    network.send(home, new HomeMessage.Ask(batch.firstAsked, new ArrayList<>(batch.asked)));
+  private void sendAsked(String quotaServer, Batch batch) {
+    network.send(quotaServer, new QuotaMessage.Ask(batch.firstAsked, new ArrayList<>(batch.asked)));
     batch.asked.clear();
   }
 
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaPace.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaPacing.java
@@ -15,7 +15,7 @@
  * @param rate part of a share that comes back in a window: all of it, so that a tenant that wants
  *     more than its limit still gets all of its limit in each window
  */
-public record QuotaPace(long windowMillis, double leastBurst, double rate) {
+public record QuotaPacing(long windowMillis, double leastBurst, double rate) {
   /**
    * Operations that a share allows at once besides a part of it. A tenant with 1.25 operations a
    * second, at random, has five within a second in one second of 130.
@@ -32,24 +32,24 @@
   private static final double ROUNDING = 1e-6;
 
   /**
-   * Creates the pace of nodes.
+   * Creates the pacing of nodes.
    *
    * @param windowMillis the window
-   * @return pace
+   * @return pacing
    */
-  public static QuotaPace of(long windowMillis) {
-    return new QuotaPace(windowMillis, LEAST_BURST, 1);
+  public static QuotaPacing of(long windowMillis) {
+    return new QuotaPacing(windowMillis, LEAST_BURST, 1);
   }
 
   /**
-   * Creates a pace that allows to use a share at once, so that an inherited one is of no use until
-   * the window is over.
+   * Creates a pacing that allows to use a share at once, so that an inherited one is of no use
+   * until the window is over.
    *
    * @param windowMillis the window
-   * @return no pace
+   * @return no pacing
    */
-  public static QuotaPace none(long windowMillis) {
-    return new QuotaPace(windowMillis, Integer.MAX_VALUE, Integer.MAX_VALUE);
+  public static QuotaPacing none(long windowMillis) {
+    return new QuotaPacing(windowMillis, Integer.MAX_VALUE, Integer.MAX_VALUE);
   }
 
   /**
--- a/server/src/main/java/org/streamcourse/request/quota/HomeServer.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaServer.java
@@ -12,17 +12,17 @@
 import reactor.core.Disposable;
 
 /**
- * The side of a home: counts other nodes' operations against this node's shares.
+ * The side of a quota server: counts other nodes' operations against this node's shares.
  *
  * <p>An operation counts from the moment it is admitted, whether the answer arrives or not, until
  * its node says that it was not run.
  *
  * <p>All methods run on the proxy's worker.
  */
-final class HomeServer {
+final class QuotaServer {
   /**
    * Time for which another node's operation waits here. The leader gives more of a limit within
-   * some 150 ms; then the node asks the next home.
+   * some 150 ms; then the node asks the next quota server.
    */
   static final long WAIT_MILLIS = 200;
 
@@ -69,7 +69,7 @@
       forget(this);
       outbox.send(
           sender,
-          new HomeMessage.Refused(
+          new QuotaMessage.Refused(
               number,
               refusal.reason(),
               refusal.used(),
@@ -84,13 +84,14 @@
   }
 
   private final Worker worker;
-  private final HomeOutbox outbox;
+  private final QuotaOutbox outbox;
   private final OperationLimits own;
   private final Supplier<ClusterImage> image;
   private final Map<String, Map<Integer, Asked>> open = new TreeMap<>();
   private volatile long counted;
 
-  HomeServer(Worker worker, HomeOutbox outbox, OperationLimits own, Supplier<ClusterImage> image) {
+  QuotaServer(
+      Worker worker, QuotaOutbox outbox, OperationLimits own, Supplier<ClusterImage> image) {
     this.worker = worker;
     this.outbox = outbox;
     this.own = own;
@@ -102,9 +103,9 @@
     return counted;
   }
 
-  void receive(String sender, HomeMessage.Ask ask) {
+  void receive(String sender, QuotaMessage.Ask ask) {
     if (ask.tenants().isEmpty()) {
-      outbox.send(sender, new HomeMessage.Admitted(new int[0]));
+      outbox.send(sender, new QuotaMessage.Admitted(new int[0]));
       return;
     }
     int number = ask.firstNumber();
@@ -118,7 +119,7 @@
     TenantRule rule = image.get().document().tenant(asked.tenant).orElse(null);
     if (rule == null || !rule.isLimited()) {
       // This node's document is another one than the sender's, and admits without counting; the
-      // next home may have the sender's.
+      // next quota server may have the sender's.
       asked.refused(
           new QuotaRefusal(asked.tenant, QuotaRefusal.Reason.NOT_CONFIRMED, "", 0, 0, WAIT_MILLIS));
       return;
@@ -130,7 +131,7 @@
     }
   }
 
-  void receive(String sender, HomeMessage.NotRun notRun) {
+  void receive(String sender, QuotaMessage.NotRun notRun) {
     Map<Integer, Asked> ofSender = open.get(sender);
     if (ofSender == null) {
       return;
--- a/server/src/main/java/org/streamcourse/request/quota/HomeOrder.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaServerOrder.java
@@ -8,33 +8,33 @@
 import java.util.TreeMap;
 import net.openhft.hashing.LongHashFunction;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.TenantId;
 
 /**
  * Which nodes count a tenant's operations, by rendezvous hashing over the nodes of the image: one
  * in each region, so that all nodes of a region ask the same one, and a lost or added node is the
- * home of few tenants. A node asks the home of its region first, then the next one there, then the
- * homes of the other regions, near ones first.
+ * quota server of few tenants. A node asks the quota server of its region first, then the next one
+ * there, then the quota servers of the other regions, near ones first.
  *
  * <p>All methods run on the proxy's worker.
  */
-public final class HomeOrder {
-  /** Nodes among which one home is chosen. */
+public final class QuotaServerOrder {
+  /** Nodes among which one quota server is chosen. */
   public enum Scope {
-    /** One home in each zone. */
+    /** One quota server in each zone. */
     ZONE,
-    /** One home in each region. */
+    /** One quota server in each region. */
     REGION,
-    /** One home for all nodes. */
+    /** One quota server for all nodes. */
     FLEET
   }
 
-  /** Homes that one operation asks at most, one after the other. */
-  static final int MOST_HOMES = 4;
+  /** Quota servers that one operation asks at most, one after the other. */
+  static final int MOST_QUOTA_SERVERS = 4;
 
-  /** Homes of the own region; the second follows when the first is lost. */
-  private static final int OWN_HOMES = 2;
+  /** Quota servers of the own region; the second follows when the first is lost. */
+  private static final int OWN_QUOTA_SERVERS = 2;
 
   private static final LongHashFunction HASH = LongHashFunction.xx();
 
@@ -42,23 +42,23 @@
   private record Candidate(NodeImage node, long weight) {}
 
   private final Scope scope;
-  private final Place place;
+  private final Placement placement;
   private final Map<TenantId, List<String>> known = new HashMap<>();
   private TreeMap<String, NodeImage> nodes = new TreeMap<>();
 
   /**
    * Creates an order.
    *
-   * @param scope among which nodes one home is chosen
-   * @param place where the asking node stands
+   * @param scope among which nodes one quota server is chosen
+   * @param placement region and zone of the asking node
    */
-  public HomeOrder(Scope scope, Place place) {
+  public QuotaServerOrder(Scope scope, Placement placement) {
     this.scope = scope;
-    this.place = place;
+    this.placement = placement;
   }
 
   /**
-   * Finds the homes of a tenant.
+   * Finds the quota servers of a tenant.
    *
    * @param present nodes of the image in force
    * @param tenant the tenant
@@ -78,24 +78,24 @@
       if (!node.draining()) {
         long weight = HASH.hashChars(tenant.value() + '/' + node.name());
         groups
-            .computeIfAbsent(group(node.place()), any -> new ArrayList<>())
+            .computeIfAbsent(group(node.placement()), any -> new ArrayList<>())
             .add(new Candidate(node, weight));
       }
     }
-    int own = scope == Scope.FLEET ? MOST_HOMES : OWN_HOMES;
-    List<String> homes = new ArrayList<>(heaviest(groups.remove(group(place)), own));
+    int own = scope == Scope.FLEET ? MOST_QUOTA_SERVERS : OWN_QUOTA_SERVERS;
+    List<String> quotaServers = new ArrayList<>(heaviest(groups.remove(group(placement)), own));
     List<Candidate> others = new ArrayList<>();
     for (List<Candidate> group : groups.values()) {
       others.add(group.stream().max(Comparator.comparingLong(Candidate::weight)).orElseThrow());
     }
     others.sort(
-        Comparator.comparingInt((Candidate each) -> each.node().place().distanceTo(place))
+        Comparator.comparingInt((Candidate each) -> each.node().placement().distanceTo(placement))
             .thenComparingLong(Candidate::weight));
-    others.forEach(each -> homes.add(each.node().name()));
-    return List.copyOf(homes.subList(0, Math.min(MOST_HOMES, homes.size())));
+    others.forEach(each -> quotaServers.add(each.node().name()));
+    return List.copyOf(quotaServers.subList(0, Math.min(MOST_QUOTA_SERVERS, quotaServers.size())));
   }
 
-  private String group(Place of) {
+  private String group(Placement of) {
     return switch (scope) {
       case ZONE -> of.zone();
       case REGION -> of.region();
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaTypes.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaTypes.java
@@ -8,11 +8,11 @@
   public static final List<Class<?>> ALL =
       List.of(
           QuotaRefusal.Reason.class,
-          HomeMessage.Ask.class,
-          HomeMessage.NotRun.class,
-          HomeMessage.Admitted.class,
-          HomeMessage.Waits.class,
-          HomeMessage.Refused.class);
+          QuotaMessage.Ask.class,
+          QuotaMessage.NotRun.class,
+          QuotaMessage.Admitted.class,
+          QuotaMessage.Waits.class,
+          QuotaMessage.Refused.class);
 
   private QuotaTypes() {}
 }
--- a/server/src/main/java/org/streamcourse/request/quota/TenantQuotas.java
+++ b/server/src/main/java/org/streamcourse/request/quota/TenantQuotas.java
@@ -76,7 +76,7 @@
   }
 
   private final Worker worker;
-  private final QuotaPace pace;
+  private final QuotaPacing pacing;
   private final String node;
   private final long run;
   private final long startedMillis;
@@ -94,7 +94,7 @@
    * Creates quotas without shares.
    *
    * @param worker the proxy's worker
-   * @param pace how fast shares may be used
+   * @param pacing how fast shares may be used
    * @param node name of this node
    * @param run number of this run of the node
    * @param holdsShares tells whether the controllers have confirmed this node lately enough
@@ -102,13 +102,13 @@
    */
   public TenantQuotas(
       Worker worker,
-      QuotaPace pace,
+      QuotaPacing pacing,
       String node,
       long run,
       BooleanSupplier holdsShares,
       Consumer<QuotaReport> toLeader) {
     this.worker = worker;
-    this.pace = pace;
+    this.pacing = pacing;
     this.node = node;
     this.run = run;
     this.startedMillis = worker.now();
@@ -148,7 +148,7 @@
   }
 
   private State state(TenantId tenant) {
-    return states.computeIfAbsent(tenant, any -> new State(new LocalQuota(pace, startedMillis)));
+    return states.computeIfAbsent(tenant, any -> new State(new LocalQuota(pacing, startedMillis)));
   }
 
   private boolean take(State state, long now) {
@@ -256,7 +256,7 @@
     }
   }
 
-  /** What is told as used: what the pace needed, but not all that a single burst needed. */
+  /** What is told as used: what the pacing needed, but not all that a single burst needed. */
   private static int asUsed(State state, long now) {
     int most = state.quota.used(now) + MOST_FOR_BURSTS;
     return Math.min(most, state.quota.needed(now));
--- a/server/src/main/java/org/streamcourse/request/routing/HeldLink.java
+++ b/server/src/main/java/org/streamcourse/request/routing/BorrowedLink.java
@@ -4,7 +4,7 @@
 import org.streamcourse.connection.member.MemberLinks;
 
 /** The link that a statement uses, and where it must be given back. */
-final class HeldLink {
+final class BorrowedLink {
   private MemberLinks pool;
   private MemberLink link;
 
--- a/server/src/main/java/org/streamcourse/request/routing/ImageWait.java
+++ b/server/src/main/java/org/streamcourse/request/routing/ImageUpdateTimer.java
@@ -7,7 +7,7 @@
  * Waits for another image of the fleet, and no longer than a short while, since a member may change
  * its mind without one.
  */
-final class ImageWait {
+final class ImageUpdateTimer {
   /** Pause before the primary is asked again after it refused. */
   private static final long PAUSE_MILLIS = 40;
 
@@ -18,13 +18,13 @@
   private Disposable pause = () -> {};
 
   /**
-   * Creates a wait that has not begun.
+   * Creates a timer that has not begun.
    *
    * @param worker the proxy's worker
    * @param table tells of other images
    * @param next runs at the end of each wait that is not cancelled
    */
-  ImageWait(Worker worker, MemberTable table, Runnable next) {
+  ImageUpdateTimer(Worker worker, MemberTable table, Runnable next) {
     this.worker = worker;
     this.table = table;
     this.next = next;
--- a/server/src/main/java/org/streamcourse/request/routing/MemberCall.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberCall.java
@@ -67,7 +67,7 @@
   private final MemberLinks links;
   private final Listener listener;
   private final ReadFloor floor;
-  private final HeldLink held = new HeldLink();
+  private final BorrowedLink borrowedLink = new BorrowedLink();
   private final long sentMillis;
   private Phase phase = Phase.DONE;
 
@@ -114,7 +114,7 @@
    * @param untilMillis time until which it may wait for one of the member's slots
    */
   void send(MemberLink granted, long untilMillis) {
-    held.hold(links, granted);
+    borrowedLink.hold(links, granted);
     MemberLink link = granted;
     link.adopt(context.values());
     boolean begins =
@@ -143,10 +143,10 @@
     if (phase == Phase.BEGINNING) {
       return "the member did not begin in time";
     }
-    if (held.get().mayHaveRun()) {
+    if (borrowedLink.get().mayHaveRun()) {
       return null;
     }
-    return held.get().isRelayed()
+    return borrowedLink.get().isRelayed()
         ? "no holder of connections spoke in time"
         : "the member did not begin in time";
   }
@@ -155,7 +155,7 @@
   void abandon() {
     if (awaitsAnswer()) {
       phase = Phase.ABANDONED;
-      held.get().withdraw();
+      borrowedLink.get().withdraw();
     }
   }
 
@@ -163,14 +163,14 @@
   void drop() {
     if (phase != Phase.DONE) {
       phase = Phase.DONE;
-      held.drop();
+      borrowedLink.drop();
     }
   }
 
   /** A holder of connections gave none for the link, so nothing was run. */
   void refused() {
     phase = Phase.DONE;
-    held.forget();
+    borrowedLink.forget();
   }
 
   /** Hears whether a transaction was begun. */
@@ -182,14 +182,14 @@
       }
       boolean awaited = end();
       if (!awaited || !answer.isComplete()) {
-        held.release();
+        borrowedLink.release();
       }
       if (!awaited) {
         return;
       }
       if (answer.isComplete()) {
         notePrimary(answer);
-        listener.opened(links, held.take());
+        listener.opened(links, borrowedLink.take());
       } else {
         listener.failed(answer, true);
       }
@@ -212,12 +212,12 @@
       noteAnswer(answer);
       if (answer.code() == AnswerCode.UNKNOWN_NAME) {
         // What this node believes to be prepared there is not.
-        held.get().close();
+        borrowedLink.get().close();
       }
       if (answer.isComplete()) {
         notePrimary(answer);
       }
-      held.release();
+      borrowedLink.release();
       if (awaited && answer.isComplete()) {
         listener.completed(answer);
       } else if (awaited) {
@@ -232,12 +232,12 @@
 
     @Override
     public void notSent(String cause) {
-      if (phase == Phase.DONE || !held.get().isOpen()) {
+      if (phase == Phase.DONE || !borrowedLink.get().isOpen()) {
         loseLink(cause, true);
         return;
       }
       boolean awaited = end();
-      held.release();
+      borrowedLink.release();
       if (awaited) {
         listener.noSlot(cause);
       }
@@ -256,7 +256,7 @@
       return;
     }
     boolean awaited = end();
-    held.forget();
+    borrowedLink.forget();
     if (awaited) {
       listener.lost(cause, unsent);
     }
--- a/server/src/main/java/org/streamcourse/request/routing/MemberChoice.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberChoice.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import net.openhft.hashing.LongHashFunction;
-import org.streamcourse.connection.member.MemberKnowledge;
+import org.streamcourse.connection.member.MemberState;
 import org.streamcourse.version.image.MemberId;
 import org.streamcourse.version.image.TenantId;
 
@@ -52,13 +52,11 @@
     double finishMillis() {
       double answered = Math.max(answerMillis * (1 + underWay), answerMillis + queueMillis);
       double priced = primary ? answered * PRIMARY_READ_COST : answered;
-      return priced
-          + catchUpMillis
-          + (silentMillis > MemberKnowledge.HUNG_MILLIS ? silentMillis : 0);
+      return priced + catchUpMillis + (silentMillis > MemberState.HUNG_MILLIS ? silentMillis : 0);
     }
 
     boolean isHeldBack() {
-      return catchUpMillis > 0 || silentMillis > MemberKnowledge.HUNG_MILLIS;
+      return catchUpMillis > 0 || silentMillis > MemberState.HUNG_MILLIS;
     }
   }
 
--- a/server/src/main/java/org/streamcourse/request/routing/MemberTable.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberTable.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 import org.streamcourse.connection.member.MemberDialer;
 import org.streamcourse.connection.member.MemberLinks;
-import org.streamcourse.connection.member.MemberNews;
+import org.streamcourse.connection.member.MemberObservation;
 import org.streamcourse.connection.member.MemberRelay;
 import org.streamcourse.process.Worker;
 import org.streamcourse.version.image.ClusterImage;
@@ -34,7 +34,8 @@
   private final Map<String, ServiceMembers> services = new TreeMap<>();
   private final Set<Runnable> waiting = new LinkedHashSet<>();
   private Runnable healthListener = () -> {};
-  private MemberRelay.NewsListener newsListener = (service, member, news) -> {};
+  private MemberRelay.ObservationListener observationListener =
+      (service, member, observation) -> {};
 
   /**
    * Creates an empty table.
@@ -49,14 +50,14 @@
     this.dialer = dialer;
     this.relay = relay;
     this.self = self;
-    relay.onNews(this::told);
+    relay.setObservationListener(this::onObservation);
   }
 
-  private void told(String service, MemberId member, MemberNews news) {
+  private void onObservation(String service, MemberId member, MemberObservation observation) {
     ServiceMembers members = services.get(service);
     MemberLinks links = members == null ? null : members.links(member);
     if (links != null) {
-      links.knowledge().told(news);
+      links.state().told(observation);
     }
   }
 
@@ -74,8 +75,8 @@
    *
    * @param listener runs on the proxy's worker
    */
-  public void onNews(MemberRelay.NewsListener listener) {
-    newsListener = listener;
+  public void setObservationListener(MemberRelay.ObservationListener listener) {
+    observationListener = listener;
   }
 
   /**
@@ -94,7 +95,8 @@
     LinkShares shares = new LinkShares(image);
     for (String name : used) {
       ServiceMembers members =
-          services.computeIfAbsent(name, any -> new ServiceMembers(worker, self.place().zone()));
+          services.computeIfAbsent(
+              name, any -> new ServiceMembers(worker, self.placement().zone()));
       updateService(members, image.service(name), shares);
     }
     List<Runnable> woken = new ArrayList<>(waiting);
@@ -188,6 +190,6 @@
     for (ServiceMembers members : services.values()) {
       members.all().forEach(MemberLinks::check);
     }
-    services.forEach((name, members) -> members.watch(name, newsListener));
+    services.forEach((name, members) -> members.watch(name, observationListener));
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/MemberWatch.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberWatch.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.streamcourse.connection.member.MemberKnowledge;
 import org.streamcourse.connection.member.MemberLinks;
-import org.streamcourse.connection.member.MemberNews;
+import org.streamcourse.connection.member.MemberObservation;
 import org.streamcourse.connection.member.MemberRelay;
+import org.streamcourse.connection.member.MemberState;
 import org.streamcourse.connection.member.ReplicaProbe;
 import org.streamcourse.process.Worker;
 import org.streamcourse.version.image.MemberId;
@@ -60,7 +60,7 @@
    * @param reader tenant that read last, over whose connections members may be asked
    * @param listener tells other nodes
    */
-  void check(String service, TenantId reader, MemberRelay.NewsListener listener) {
+  void check(String service, TenantId reader, MemberRelay.ObservationListener listener) {
     told.keySet().removeIf(member -> members.links(member) == null);
     for (MemberLinks links : members.all()) {
       if (!links.holdsLinks()) {
@@ -78,7 +78,7 @@
   private boolean isBehind(MemberLinks links) {
     return links.isUsable()
         && !members.leadsToPrimary(links)
-        && links.knowledge().lagMillis() >= WATCHED_MILLIS;
+        && links.state().lagMillis() >= WATCHED_MILLIS;
   }
 
   private void ask(MemberLinks links, TenantId reader) {
@@ -90,10 +90,10 @@
   }
 
   private void tell(
-      String service, MemberLinks links, boolean behind, MemberRelay.NewsListener listener) {
+      String service, MemberLinks links, boolean behind, MemberRelay.ObservationListener listener) {
     MemberId member = links.member().id();
-    MemberNews news = links.knowledge().news();
-    boolean hung = news.silentMillis() > MemberKnowledge.HUNG_MILLIS;
+    MemberObservation observation = links.state().observation();
+    boolean hung = observation.silentMillis() > MemberState.HUNG_MILLIS;
     Told last = told.get(member);
     if (!behind && !hung && last == null) {
       return;
@@ -101,8 +101,8 @@
     if (!behind && !hung) {
       told.remove(member);
       LOG.info("member {}/{} has caught up and answers", service, member);
-    } else if (last == null || isWorthTelling(last, news.lagMillis(), hung)) {
-      told.put(member, new Told(news.lagMillis(), hung, worker.now()));
+    } else if (last == null || isWorthTelling(last, observation.lagMillis(), hung)) {
+      told.put(member, new Told(observation.lagMillis(), hung, worker.now()));
     } else {
       return;
     }
@@ -111,10 +111,10 @@
           "member {}/{} is {} ms behind, silent for {} ms",
           service,
           member,
-          news.lagMillis(),
-          news.silentMillis());
+          observation.lagMillis(),
+          observation.silentMillis());
     }
-    listener.told(service, member, news);
+    listener.onObservation(service, member, observation);
   }
 
   private boolean isWorthTelling(Told last, long lagMillis, boolean hung) {
--- a/server/src/main/java/org/streamcourse/request/routing/ReadSearch.java
+++ b/server/src/main/java/org/streamcourse/request/routing/ReadSearch.java
@@ -89,7 +89,7 @@
       MemberChoice.Candidate chosen) {
     for (MemberChoice.Candidate each : candidates) {
       if (each.isHeldBack() && !each.id().equals(chosen.id())) {
-        long known = members.links(each.id()).knowledge().ageMillis();
+        long known = members.links(each.id()).state().ageMillis();
         log.leftOut(context, each, known, chosen);
       }
     }
--- a/server/src/main/java/org/streamcourse/request/routing/ServiceMembers.java
+++ b/server/src/main/java/org/streamcourse/request/routing/ServiceMembers.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.streamcourse.connection.member.MemberKnowledge;
 import org.streamcourse.connection.member.MemberLinks;
 import org.streamcourse.connection.member.MemberRelay;
+import org.streamcourse.connection.member.MemberState;
 import org.streamcourse.connection.member.ReadFloor;
 import org.streamcourse.process.Worker;
 import org.streamcourse.version.image.MemberId;
@@ -114,7 +114,7 @@
   }
 
   /** Looks after the members to which this node has links, and tells other nodes of them. */
-  void watch(String service, MemberRelay.NewsListener listener) {
+  void watch(String service, MemberRelay.ObservationListener listener) {
     memberWatch.check(service, lastReader, listener);
   }
 
@@ -196,7 +196,7 @@
 
   private MemberChoice.Candidate candidate(MemberLinks links, ReadFloor floor) {
     MemberId id = links.member().id();
-    MemberKnowledge known = links.knowledge();
+    MemberState known = links.state();
     return new MemberChoice.Candidate(
         id,
         id.equals(primary),
@@ -236,7 +236,7 @@
   void primaryAt(long askedMillis, TermPosition position) {
     primaryPositions.add(askedMillis, position);
     long age = worker.now() - askedMillis;
-    members.values().forEach(links -> links.knowledge().primaryHad(position, age));
+    members.values().forEach(links -> links.state().primaryHad(position, age));
   }
 
   void answered(MemberId id, String database, long latencyMillis, TermPosition position) {
@@ -249,7 +249,7 @@
     }
     MemberLinks links = members.get(id);
     if (links != null && links.holdsLinks()) {
-      links.knowledge().heard(position);
+      links.state().heard(position);
     }
   }
 
@@ -264,7 +264,7 @@
   void behind(MemberId id, ReadFloor floor) {
     MemberLinks links = members.get(id);
     if (links != null) {
-      links.knowledge().lacks(floor);
+      links.state().lacks(floor);
     }
   }
 
--- a/server/src/main/java/org/streamcourse/request/routing/StatementAttempt.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementAttempt.java
@@ -5,7 +5,7 @@
 import org.streamcourse.connection.member.LinkRequest;
 import org.streamcourse.connection.member.MemberLink;
 import org.streamcourse.connection.member.MemberLinks;
-import org.streamcourse.connection.member.MemberNews;
+import org.streamcourse.connection.member.MemberObservation;
 import org.streamcourse.connection.member.ReadFloor;
 import org.streamcourse.process.Worker;
 import org.streamcourse.request.statement.Answer;
@@ -47,7 +47,7 @@
   private final Listener listener;
   private final StatementTimes times;
   private final ReadSearch search;
-  private final ImageWait imageWait;
+  private final ImageUpdateTimer imageUpdateTimer;
   private StatementPlan plan;
   private boolean done;
 
@@ -99,7 +99,7 @@
     this.plan = plan;
     this.listener = listener;
     this.search = new ReadSearch(log, context);
-    this.imageWait = new ImageWait(worker, table, this::attempt);
+    this.imageUpdateTimer = new ImageUpdateTimer(worker, table, this::attempt);
     this.times = times;
   }
 
@@ -127,7 +127,7 @@
     if (call != null) {
       call.abandon();
     }
-    imageWait.cancel();
+    imageUpdateTimer.cancel();
     done = true;
   }
 
@@ -223,7 +223,7 @@
   private void waitForChange(String cause) {
     lastCause = cause;
     turn++;
-    imageWait.start();
+    imageUpdateTimer.start();
   }
 
   private boolean isWaiting(int ofTurn) {
@@ -273,8 +273,8 @@
     }
 
     @Override
-    public void learned(MemberNews news) {
-      pool.knowledge().told(news);
+    public void learned(MemberObservation observation) {
+      pool.state().told(observation);
     }
 
     @Override
@@ -494,6 +494,6 @@
     done = true;
     call = null;
     timeout.dispose();
-    imageWait.cancel();
+    imageUpdateTimer.cancel();
   }
 }
--- a/server/src/main/java/org/streamcourse/version/control/AllowancePlanner.java
+++ b/server/src/main/java/org/streamcourse/version/control/AllowancePlanner.java
@@ -39,7 +39,7 @@
     String key = group + '/' + member.name() + '/';
     List<Candidate> candidates = new ArrayList<>();
     for (NodeImage node : nodes) {
-      int distance = node.place().distanceTo(member.place());
+      int distance = node.placement().distanceTo(member.placement());
       candidates.add(new Candidate(node, distance, HASH.hashChars(key + node.name())));
     }
     return candidates.stream()
--- a/server/src/main/java/org/streamcourse/version/control/EarlyHeartbeats.java
+++ b/server/src/main/java/org/streamcourse/version/control/BufferedHeartbeats.java
@@ -8,7 +8,7 @@
 import org.streamcourse.version.control.ControlMessage.StoredImage;
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 
 /**
  * The heartbeats that a controller hears while it does not lead. After a start of all machines
@@ -17,7 +17,7 @@
  *
  * <p>All methods run on the controller's worker.
  */
-final class EarlyHeartbeats {
+final class BufferedHeartbeats {
   /** Time after its start in which a controller tells nodes what it stored. */
   private static final long STORED_IMAGE_MILLIS = 5_000;
 
@@ -44,17 +44,17 @@
 
   private final Map<String, Long> toldMillis = new TreeMap<>();
   private final Map<String, Long> heardMillis = new TreeMap<>();
-  private Place place;
+  private Placement placement;
   private long startedMillis;
 
-  EarlyHeartbeats(Worker worker, PeerNetwork network) {
+  BufferedHeartbeats(Worker worker, PeerNetwork network) {
     this.worker = worker;
     this.network = network;
   }
 
   /** Sets where this controller stands; until then it tells nodes of all regions alike. */
-  void standsAt(Place value) {
-    place = value;
+  void setPlacement(Placement value) {
+    placement = value;
   }
 
   /** The controller starts. */
@@ -94,7 +94,7 @@
   }
 
   private boolean isOfAnotherRegion(NodeImage node) {
-    return place != null && !place.region().equals(node.place().region());
+    return placement != null && !placement.region().equals(node.placement().region());
   }
 
   /** Forgets and returns the heartbeats by node. */
--- a/server/src/main/java/org/streamcourse/version/control/ControlTypes.java
+++ b/server/src/main/java/org/streamcourse/version/control/ControlTypes.java
@@ -13,7 +13,7 @@
 import org.streamcourse.version.image.MemberId;
 import org.streamcourse.version.image.MemberImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.QuotaGrant;
 import org.streamcourse.version.image.QuotaHolder;
 import org.streamcourse.version.image.RegisteredMember;
@@ -32,7 +32,7 @@
   private static final List<Class<?>> OWN =
       List.of(
           TermPosition.class,
-          Place.class,
+          Placement.class,
           Allowance.class,
           MemberImage.class,
           GroupRules.class,
--- a/server/src/main/java/org/streamcourse/version/control/Controller.java
+++ b/server/src/main/java/org/streamcourse/version/control/Controller.java
@@ -26,7 +26,7 @@
 import org.streamcourse.version.image.ClusterChange.ConfigurationChange;
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.GroupImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.QuotaHolder;
 import org.streamcourse.version.image.RoutingDocument;
 import reactor.core.Disposable;
@@ -58,7 +58,7 @@
   private final QuotaPlanner quotas;
   private final ImagePusher pusher;
   private final HeartbeatReplies replies;
-  private final EarlyHeartbeats early;
+  private final BufferedHeartbeats bufferedHeartbeats;
   private long orderIds;
   private Disposable supervision = () -> {};
 
@@ -94,7 +94,7 @@
     this.supervisors =
         new GroupSupervisors(name -> new GroupSupervisor(name, settings, registry, actions));
     this.quotas = new QuotaPlanner(settings.quotas(), machine.quotas(), new QuotaActions());
-    this.early = new EarlyHeartbeats(worker, network);
+    this.bufferedHeartbeats = new BufferedHeartbeats(worker, network);
     this.pusher = new ImagePusher(worker, network, agreement, machine);
     this.replies = new HeartbeatReplies(worker, network, agreement, machine);
     machine.listen(this);
@@ -116,15 +116,15 @@
   /**
    * Sets where this controller stands, so that nodes get what is large from their own region.
    *
-   * @param place place, or null when it is not known; to be set before the start
+   * @param placement region and zone, or null when it is not known; to be set before the start
    */
-  public void standsAt(Place place) {
-    early.standsAt(place);
+  public void setPlacement(Placement placement) {
+    bufferedHeartbeats.setPlacement(placement);
   }
 
   /** Starts the agreement. */
   public void start() {
-    early.started();
+    bufferedHeartbeats.started();
     agreement.start();
   }
 
@@ -316,7 +316,7 @@
   private void onHeartbeat(String peer, NodeHeartbeat heartbeat) {
     if (!agreement.isLeader()) {
       network.send(peer, new LeaderHint(leaderName()));
-      early.heard(peer, heartbeat, machine.image());
+      bufferedHeartbeats.heard(peer, heartbeat, machine.image());
       return;
     }
     boolean known = registry.state(peer).map(NodeRegistry.NodeState::isComplete).orElse(false);
@@ -329,7 +329,7 @@
     registry.state(peer).ifPresent(state -> state.groupsWithNews().forEach(this::checkGroup));
     agreement.whenLeadershipConfirmed(
         () -> replies.reply(peer, heartbeat.sequence(), heartbeat.version(), !complete),
-        EarlyHeartbeats.isOfAStart(heartbeat));
+        BufferedHeartbeats.isOfAStart(heartbeat));
   }
 
   private void checkGroup(String group) {
@@ -402,7 +402,7 @@
     pusher.restart();
     replies.restart();
     supervision.dispose();
-    Map<String, NodeHeartbeat> unanswered = early.take();
+    Map<String, NodeHeartbeat> unanswered = bufferedHeartbeats.take();
     if (leads) {
       supervision = worker.repeat(settings.supervisionMillis(), this::supervise);
       unanswered.forEach(this::onHeartbeat);
--- a/server/src/main/java/org/streamcourse/version/control/GatewayChooser.java
+++ b/server/src/main/java/org/streamcourse/version/control/GatewayChooser.java
@@ -33,8 +33,8 @@
     byZone.clear();
     byRegion.clear();
     for (NodeImage node : candidates) {
-      byZone.computeIfAbsent(node.place().zone(), any -> new ArrayList<>()).add(node);
-      byRegion.computeIfAbsent(node.place().region(), any -> new ArrayList<>()).add(node);
+      byZone.computeIfAbsent(node.placement().zone(), any -> new ArrayList<>()).add(node);
+      byRegion.computeIfAbsent(node.placement().region(), any -> new ArrayList<>()).add(node);
     }
   }
 
@@ -46,18 +46,18 @@
    * @return at most two nodes, best first
    */
   List<NodeImage> gatewaysOf(String group, MemberImage member) {
-    String key = group + '/' + member.name() + '/' + member.place();
+    String key = group + '/' + member.name() + '/' + member.placement();
     return chosen.computeIfAbsent(
         key, any -> AllowancePlanner.chooseGateways(group, member, nearest(member)));
   }
 
   /** The smallest set of near nodes that holds enough gateways. */
   private List<NodeImage> nearest(MemberImage member) {
-    List<NodeImage> zone = byZone.getOrDefault(member.place().zone(), List.of());
+    List<NodeImage> zone = byZone.getOrDefault(member.placement().zone(), List.of());
     if (zone.size() >= AllowancePlanner.GATEWAYS_PER_MEMBER) {
       return zone;
     }
-    List<NodeImage> region = byRegion.getOrDefault(member.place().region(), List.of());
+    List<NodeImage> region = byRegion.getOrDefault(member.placement().region(), List.of());
     return region.size() >= AllowancePlanner.GATEWAYS_PER_MEMBER ? region : candidates;
   }
 }
--- a/server/src/main/java/org/streamcourse/version/image/LinkShares.java
+++ b/server/src/main/java/org/streamcourse/version/image/LinkShares.java
@@ -82,7 +82,7 @@
       Comparator.comparingLong(Candidate::weight).reversed();
 
   private final ClusterImage image;
-  private final Map<String, Place> zones = new HashMap<>();
+  private final Map<String, Placement> zones = new HashMap<>();
   private final Map<String, List<List<NodeImage>>> nodesByDistance = new HashMap<>();
 
   /**
@@ -92,7 +92,7 @@
    */
   public LinkShares(ClusterImage image) {
     this.image = image;
-    image.nodes().values().forEach(node -> zones.put(node.place().zone(), node.place()));
+    image.nodes().values().forEach(node -> zones.put(node.placement().zone(), node.placement()));
   }
 
   /**
@@ -258,10 +258,10 @@
 
   /** Sorted by zone once and not for each member: each image is looked at by all nodes. */
   private List<List<NodeImage>> nodesByDistance(String zone) {
-    Place place = zones.getOrDefault(zone, new Place("", zone));
+    Placement placement = zones.getOrDefault(zone, new Placement("", zone));
     List<List<NodeImage>> nodes = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     for (NodeImage node : image.nodes().values()) {
-      nodes.get(node.place().distanceTo(place)).add(node);
+      nodes.get(node.placement().distanceTo(placement)).add(node);
     }
     return nodes;
   }
--- a/server/src/main/java/org/streamcourse/version/image/MemberImage.java
+++ b/server/src/main/java/org/streamcourse/version/image/MemberImage.java
@@ -8,7 +8,7 @@
  * @param name member's name, unique in its group
  * @param host IP number
  * @param port TCP port
- * @param place where it stands
+ * @param placement region and zone
  * @param connectionLimit connections it accepts from gateways
  * @param slotLimit statements it runs at the same time
  * @param draining true when it must get no new work
@@ -18,7 +18,7 @@
     String name,
     String host,
     int port,
-    Place place,
+    Placement placement,
     int connectionLimit,
     int slotLimit,
     boolean draining,
@@ -35,7 +35,8 @@
    * @return changed member
    */
   public MemberImage withDraining(boolean value) {
-    return new MemberImage(name, host, port, place, connectionLimit, slotLimit, value, allowances);
+    return new MemberImage(
+        name, host, port, placement, connectionLimit, slotLimit, value, allowances);
   }
 
   /**
@@ -45,7 +46,8 @@
    * @return changed member
    */
   public MemberImage withAllowances(List<Allowance> value) {
-    return new MemberImage(name, host, port, place, connectionLimit, slotLimit, draining, value);
+    return new MemberImage(
+        name, host, port, placement, connectionLimit, slotLimit, draining, value);
   }
 
   /**
@@ -56,7 +58,7 @@
    * @return changed member
    */
   public MemberImage withLimits(int connections, int slots) {
-    return new MemberImage(name, host, port, place, connections, slots, draining, allowances);
+    return new MemberImage(name, host, port, placement, connections, slots, draining, allowances);
   }
 
   /**
--- a/server/src/main/java/org/streamcourse/version/image/NodeImage.java
+++ b/server/src/main/java/org/streamcourse/version/image/NodeImage.java
@@ -7,11 +7,11 @@
  * @param incarnation number that differs for each start of the node
  * @param host IP number for links from other nodes
  * @param port TCP port for links
- * @param place where it stands
+ * @param placement region and zone
  * @param draining true when it must get no new work
  */
 public record NodeImage(
-    String name, long incarnation, String host, int port, Place place, boolean draining) {
+    String name, long incarnation, String host, int port, Placement placement, boolean draining) {
   /**
    * Changes the draining mark.
    *
@@ -19,6 +19,6 @@
    * @return changed node
    */
   public NodeImage withDraining(boolean value) {
-    return new NodeImage(name, incarnation, host, port, place, value);
+    return new NodeImage(name, incarnation, host, port, placement, value);
   }
 }
--- a/server/src/main/java/org/streamcourse/version/image/Place.java
+++ b/server/src/main/java/org/streamcourse/version/image/Placement.java
@@ -6,18 +6,18 @@
  * @param region region name
  * @param zone zone name, unique among all regions
  */
-public record Place(String region, String zone) {
+public record Placement(String region, String zone) {
   private static final int SAME_ZONE = 0;
   private static final int SAME_REGION = 1;
   private static final int OTHER_REGION = 2;
 
   /**
-   * Ranks how far another place is.
+   * Ranks how far another placement is.
    *
-   * @param other another place
+   * @param other another placement
    * @return 0 in the same zone, 1 in the same region, 2 elsewhere
    */
-  public int distanceTo(Place other) {
+  public int distanceTo(Placement other) {
     if (zone.equals(other.zone)) {
       return SAME_ZONE;
     }
--- a/server/src/main/java/org/streamcourse/version/language/AdminViews.java
+++ b/server/src/main/java/org/streamcourse/version/language/AdminViews.java
@@ -147,8 +147,8 @@
         group.name(),
         member.name(),
         member.host() + ":" + member.port(),
-        member.place().region(),
-        member.place().zone(),
+        member.placement().region(),
+        member.placement().zone(),
         Integer.toString(member.connectionLimit()),
         Integer.toString(member.slotLimit()),
         Boolean.toString(member.draining()),
@@ -167,8 +167,8 @@
           List.of(
               node.name(),
               node.host() + ":" + node.port(),
-              node.place().region(),
-              node.place().zone(),
+              node.placement().region(),
+              node.placement().zone(),
               Long.toString(node.incarnation()),
               Boolean.toString(node.draining()),
               controller.silenceOf(node.name()).map(String::valueOf).orElse("")));
--- a/server/src/main/java/org/streamcourse/version/language/StatementParser.java
+++ b/server/src/main/java/org/streamcourse/version/language/StatementParser.java
@@ -16,7 +16,7 @@
 import org.streamcourse.version.image.GroupImage;
 import org.streamcourse.version.image.GroupRules;
 import org.streamcourse.version.image.MemberImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.language.AdminStatement.Change;
 import org.streamcourse.version.language.AdminStatement.Condition;
 import org.streamcourse.version.language.AdminStatement.Operator;
@@ -178,7 +178,7 @@
               text(each.memberName),
               address.substring(0, colon),
               (int) number(address.substring(colon + 1), "port", line),
-              new Place(text(each.region), text(each.zone)),
+              new Placement(text(each.region), text(each.zone)),
               (int) number(each.connections.getText(), CONNECTIONS, line),
               (int) number(each.slots.getText(), SLOTS, line),
               false,
--- a/server/src/test/java/org/streamcourse/connection/peer/FramePackerTest.java
+++ b/server/src/test/java/org/streamcourse/connection/peer/FramePackerTest.java
@@ -15,7 +15,7 @@
 import org.streamcourse.version.control.MemberRole;
 import org.streamcourse.version.control.MemberStatus;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.TermPosition;
 import org.testng.annotations.Test;
 
@@ -34,8 +34,8 @@
           new MemberStatus(1, MemberRole.REPLICA, "", position, position, position);
       reports.add(new MemberReport("service-" + i, "member-" + i + "-run-1", true, status));
     }
-    Place place = new Place("region-1", "region-1-a");
-    NodeImage self = new NodeImage("10.0.0.7:7000", 1, "10.0.0.7", 7_000, place, false);
+    Placement placement = new Placement("region-1", "region-1-a");
+    NodeImage self = new NodeImage("10.0.0.7:7000", 1, "10.0.0.7", 7_000, placement, false);
     return codec.encode(new NodeHeartbeat(self, number, 120, 0, false, 4, false, reports));
   }
 
--- a/server/src/test/java/org/streamcourse/connection/peer/LinkTrafficTest.java
+++ b/server/src/test/java/org/streamcourse/connection/peer/LinkTrafficTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.streamcourse.version.agreement.AgreementMessage.JoinRequest;
 import org.streamcourse.version.control.ControlMessage.AgreementEnvelope;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 
 /** What is sent is counted by kind and distance. */
 public class LinkTrafficTest {
-  private static final Place HERE = new Place("r1", "r1-a");
+  private static final Placement HERE = new Placement("r1", "r1-a");
 
   @Test
   public void countsByKindAndDistance() {
@@ -35,10 +35,11 @@
   }
 
   @Test
-  public void aDistanceIsKnownOnceBothPlacesAre() {
+  public void aDistanceIsKnownOnceBothPlacementsAre() {
     assertEquals(PeerDistance.between(HERE, HERE), PeerDistance.ZONE);
-    assertEquals(PeerDistance.between(HERE, new Place("r1", "r1-b")), PeerDistance.REGION);
-    assertEquals(PeerDistance.between(HERE, new Place("r2", "r2-a")), PeerDistance.OTHER_REGION);
+    assertEquals(PeerDistance.between(HERE, new Placement("r1", "r1-b")), PeerDistance.REGION);
+    assertEquals(
+        PeerDistance.between(HERE, new Placement("r2", "r2-a")), PeerDistance.OTHER_REGION);
     assertEquals(PeerDistance.between(null, HERE), PeerDistance.UNKNOWN);
     assertEquals(PeerDistance.between(HERE, null), PeerDistance.UNKNOWN);
   }
--- a/server/src/test/java/org/streamcourse/connection/peer/SimulatedLinks.java
+++ b/server/src/test/java/org/streamcourse/connection/peer/SimulatedLinks.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import org.streamcourse.process.MessageCodec;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import reactor.core.scheduler.Scheduler;
 
 /**
@@ -24,7 +24,7 @@
 
   private final Scheduler clock;
   private final MessageCodec codec;
-  private final Map<String, Place> places = new HashMap<>();
+  private final Map<String, Placement> placements = new HashMap<>();
   private final Map<String, PeerHandler> handlers = new HashMap<>();
   private final Map<String, LinkTraffic> traffic = new TreeMap<>();
   private final Map<Pair, FramePacker> packers = new HashMap<>();
@@ -46,11 +46,11 @@
    * Adds a process.
    *
    * @param name its name
-   * @param place where it stands
+   * @param placement region and zone
    * @return its way to the others
    */
-  public PeerNetwork add(String name, Place place) {
-    places.put(name, place);
+  public PeerNetwork add(String name, Placement placement) {
+    placements.put(name, placement);
     traffic.put(name, new LinkTraffic());
     return (peer, message) -> send(name, peer, message);
   }
@@ -93,12 +93,12 @@
   }
 
   private void send(String from, String to, Object message) {
-    if (silent.contains(from) || !places.containsKey(to)) {
+    if (silent.contains(from) || !placements.containsKey(to)) {
       return;
     }
     byte[] encoded = codec.encode(message);
-    Place self = places.get(from);
-    Place peer = places.get(to);
+    Placement self = placements.get(from);
+    Placement peer = placements.get(to);
     PeerDistance distance = PeerDistance.between(self, peer);
     FramePacker packer = packers.computeIfAbsent(new Pair(from, to), any -> new FramePacker());
     int bytes = packer.pack(encoded, distance == PeerDistance.OTHER_REGION).length + LENGTH_BYTES;
--- a/server/src/test/java/org/streamcourse/process/ControlFleet.java
+++ b/server/src/test/java/org/streamcourse/process/ControlFleet.java
@@ -22,7 +22,7 @@
 import org.streamcourse.version.control.ServiceCall;
 import org.streamcourse.version.image.MemberId;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.RegisteredMember;
 import org.streamcourse.version.image.RoutingDocument;
 import org.streamcourse.version.image.SessionLimits;
@@ -67,25 +67,25 @@
       controllerNames.add("10.0." + i + ".1:7000");
     }
     for (int i = 0; i < ZONES; i++) {
-      addController(controllerNames.get(i), placeOf(i));
+      addController(controllerNames.get(i), placementOf(i));
     }
     for (int i = 0; i < nodeCount; i++) {
-      addNode("10.1." + i / 200 + "." + i % 200 + ":7000", placeOf(i));
+      addNode("10.1." + i / 200 + "." + i % 200 + ":7000", placementOf(i));
     }
   }
 
-  private static Place placeOf(int number) {
+  private static Placement placementOf(int number) {
     int region = number % REGIONS;
     String name = "region-" + region;
-    return new Place(name, name + "-" + (number / REGIONS % 2));
+    return new Placement(name, name + "-" + (number / REGIONS % 2));
   }
 
   private Worker worker() {
     return SchedulerWorker.onSchedulerClock(clock);
   }
 
-  private void addController(String name, Place place) {
-    PeerNetwork network = links.add(name, place);
+  private void addController(String name, Placement placement) {
+    PeerNetwork network = links.add(name, placement);
     ControllerNode node =
         new ControllerNode(
             name,
@@ -98,15 +98,15 @@
             AgreementSettings.DEFAULT.withMaxVoters(MAX_VOTERS),
             ControlSettings.DEFAULT,
             new Random(name.hashCode()));
-    node.controller().standsAt(place);
+    node.controller().setPlacement(placement);
     links.attach(name, node);
     controllers.put(name, node);
   }
 
-  private void addNode(String name, Place place) {
-    PeerNetwork network = links.add(name, place);
+  private void addNode(String name, Placement placement) {
+    PeerNetwork network = links.add(name, placement);
     NodeImage self =
-        new NodeImage(name, 1, name.substring(0, name.indexOf(':')), 7_000, place, false);
+        new NodeImage(name, 1, name.substring(0, name.indexOf(':')), 7_000, placement, false);
     NodeAgent agent =
         new NodeAgent(
             worker(),
@@ -179,7 +179,7 @@
             new MemberId(memberId(member)),
             "10.2.0." + member,
             5_432,
-            placeOf(member).zone(),
+            placementOf(member).zone(),
             4,
             false);
     call(
--- a/server/src/test/java/org/streamcourse/process/StatementProxyNodeTest.java
+++ b/server/src/test/java/org/streamcourse/process/StatementProxyNodeTest.java
@@ -25,7 +25,7 @@
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.KeyDigest;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.RouteConsistency;
 import org.streamcourse.version.image.RouteRule;
 import org.streamcourse.version.image.RoutingDocument;
@@ -38,7 +38,7 @@
 
 /** What a proxy does at its start, its stop, and while it is cut off. */
 public class StatementProxyNodeTest {
-  private static final Place PLACE = new Place("r", "z");
+  private static final Placement PLACEMENT = new Placement("r", "z");
 
   /** Notes whether a caller's connection was closed. */
   private static final class Caller implements ClientChannel {
@@ -90,7 +90,7 @@
   }
 
   private static NodeImage image(String name) {
-    return new NodeImage(name, 1, name.substring(0, name.indexOf(':')), 1, PLACE, false);
+    return new NodeImage(name, 1, name.substring(0, name.indexOf(':')), 1, PLACEMENT, false);
   }
 
   /** After a loss of all power each node would otherwise open links to all others at once. */
--- a/server/src/test/java/org/streamcourse/process/StoredImageTest.java
+++ b/server/src/test/java/org/streamcourse/process/StoredImageTest.java
@@ -14,7 +14,7 @@
 import org.streamcourse.version.control.ControlSettings;
 import org.streamcourse.version.control.ServiceCall;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.RoutingDocument;
 import org.streamcourse.version.image.SessionLimits;
 import org.testng.annotations.Test;
@@ -59,7 +59,7 @@
   }
 
   private static NodeHeartbeat heartbeat(long version) {
-    NodeImage self = new NodeImage(NODE, 1, "10.0.0.9", 1, new Place("r", "z"), false);
+    NodeImage self = new NodeImage(NODE, 1, "10.0.0.9", 1, new Placement("r", "z"), false);
     return new NodeHeartbeat(self, 1, version, 0, false, 0, true, List.of());
   }
 
--- a/server/src/test/java/org/streamcourse/request/gateway/GatewayStreamTest.java
+++ b/server/src/test/java/org/streamcourse/request/gateway/GatewayStreamTest.java
@@ -35,7 +35,7 @@
 import org.streamcourse.version.image.GroupRules;
 import org.streamcourse.version.image.MemberImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.TermPosition;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -57,12 +57,12 @@
     toEdge.clear();
     member = new FakeMember();
     Worker worker = SchedulerWorker.onSchedulerClock(clock);
-    Place place = new Place("r", "z");
+    Placement placement = new Placement("r", "z");
     MemberImage image =
         new MemberImage(
-            "m1", "127.0.0.1", 1, place, 4, 1, false, List.of(new Allowance("p1", 4, 1)));
+            "m1", "127.0.0.1", 1, placement, 4, 1, false, List.of(new Allowance("p1", 4, 1)));
     GroupImage group = new GroupImage(GROUP, 1, "m1", List.of(image), GroupRules.DEFAULT);
-    NodeImage self = new NodeImage("p1", 1, "127.0.0.1", 1, place, false);
+    NodeImage self = new NodeImage("p1", 1, "127.0.0.1", 1, placement, false);
     PeerNetwork network = (peer, message) -> send(peer, message, group);
     agent =
         new NodeAgent(
--- a/server/src/test/java/org/streamcourse/request/quota/LocalQuotaTest.java
+++ b/server/src/test/java/org/streamcourse/request/quota/LocalQuotaTest.java
@@ -12,7 +12,7 @@
   private static final int NO_CEILING = Integer.MAX_VALUE;
 
   private static LocalQuota withShare(int operations) {
-    LocalQuota quota = new LocalQuota(QuotaPace.none(WINDOW_MILLIS), 0);
+    LocalQuota quota = new LocalQuota(QuotaPacing.none(WINDOW_MILLIS), 0);
     quota.told(1, operations, 0, NO_CEILING, false, 0);
     return quota;
   }
@@ -27,7 +27,7 @@
 
   @Test
   public void withoutAShareNothingRuns() {
-    LocalQuota quota = new LocalQuota(QuotaPace.none(WINDOW_MILLIS), 0);
+    LocalQuota quota = new LocalQuota(QuotaPacing.none(WINDOW_MILLIS), 0);
     assertFalse(quota.take(0));
     assertEquals(quota.roomInMillis(1, 0), WINDOW_MILLIS);
   }
@@ -62,7 +62,7 @@
 
   @Test
   public void anOlderWordChangesNothing() {
-    LocalQuota quota = new LocalQuota(QuotaPace.none(WINDOW_MILLIS), 0);
+    LocalQuota quota = new LocalQuota(QuotaPacing.none(WINDOW_MILLIS), 0);
     quota.told(5, 2, 0, NO_CEILING, false, 0);
     quota.told(4, 100, 0, NO_CEILING, false, 0);
     assertEquals(takeAll(quota, 0), 2);
--- a/server/src/test/java/org/streamcourse/request/quota/HomedQuotasTest.java
+++ b/server/src/test/java/org/streamcourse/request/quota/QuotaClientTest.java
@@ -13,7 +13,7 @@
 import org.streamcourse.request.quota.QuotaRefusal.Reason;
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.TenantId;
 import org.streamcourse.version.image.TenantRule;
 import org.testng.annotations.BeforeMethod;
@@ -21,12 +21,12 @@
 import reactor.core.Disposable;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** Which home a node asks for an operation, and what it does when that one can't decide. */
-public class HomedQuotasTest {
+/** Which quota server a node asks for an operation, and what it does when that one can't decide. */
+public class QuotaClientTest {
   private static final TenantId TENANT = new TenantId("t");
   private static final TenantRule LIMITED = new TenantRule(TENANT, List.of(), 1, 10, 10);
-  private static final Place NORTH = new Place("north", "north-a");
-  private static final Place SOUTH = new Place("south", "south-a");
+  private static final Placement NORTH = new Placement("north", "north-a");
+  private static final Placement SOUTH = new Placement("south", "south-a");
 
   /** A message on its way. */
   private record Sent(String to, Object message) {}
@@ -35,8 +35,8 @@
   private final List<QuotaRefusal> refusals = new ArrayList<>();
   private final List<QuotaPermit> permits = new ArrayList<>();
   private VirtualTimeScheduler clock;
-  private HomedQuotas quotas;
-  private List<String> homes;
+  private QuotaClient quotas;
+  private List<String> quotaServers;
 
   /** Time by which the clock is ahead of the tasks. */
   private long frozenMillis;
@@ -54,14 +54,14 @@
       nodes.put("n" + i, new NodeImage("n" + i, 1, "", 1, NORTH, false));
       nodes.put("s" + i, new NodeImage("s" + i, 1, "", 1, SOUTH, false));
     }
-    // The asking node is none of the image's, so that it is nobody's home.
-    HomeOrder order = new HomeOrder(HomeOrder.Scope.REGION, NORTH);
-    homes = order.of(nodes, TENANT);
+    // The asking node is none of the image's, so that it is nobody's quota server.
+    QuotaServerOrder order = new QuotaServerOrder(QuotaServerOrder.Scope.REGION, NORTH);
+    quotaServers = order.of(nodes, TENANT);
     ClusterImage image = new ClusterImage(1, 0, new TreeMap<>(), nodes);
     TenantQuotas own =
-        new TenantQuotas(worker, QuotaPace.of(5_000), "me", 1, () -> true, report -> {});
+        new TenantQuotas(worker, QuotaPacing.of(5_000), "me", 1, () -> true, report -> {});
     quotas =
-        new HomedQuotas(
+        new QuotaClient(
             worker,
             (peer, message) -> sent.add(new Sent(peer, message)),
             own,
@@ -105,98 +105,101 @@
     return asked;
   }
 
-  private void answer(String home, HomeMessage message) {
-    quotas.receive(home, message);
+  private void answer(String quotaServer, QuotaMessage message) {
+    quotas.receive(quotaServer, message);
     pass(1);
   }
 
-  private static HomeMessage.Admitted admitted(int number) {
-    return new HomeMessage.Admitted(new int[] {number});
+  private static QuotaMessage.Admitted admitted(int number) {
+    return new QuotaMessage.Admitted(new int[] {number});
   }
 
-  private static HomeMessage.Refused refused(int number, Reason reason) {
-    return new HomeMessage.Refused(number, reason, 3, 3, 300);
+  private static QuotaMessage.Refused refused(int number, Reason reason) {
+    return new QuotaMessage.Refused(number, reason, 3, 3, 300);
   }
 
-  private List<String> askedHomes() {
+  private List<String> askedQuotaServers() {
     return sent.stream()
-        .filter(each -> each.message() instanceof HomeMessage.Ask ask && !ask.tenants().isEmpty())
+        .filter(each -> each.message() instanceof QuotaMessage.Ask ask && !ask.tenants().isEmpty())
         .map(Sent::to)
         .toList();
   }
 
-  private long notRun(String home) {
+  private long notRun(String quotaServer) {
     return sent.stream()
-        .filter(each -> each.to().equals(home) && each.message() instanceof HomeMessage.NotRun)
+        .filter(
+            each -> each.to().equals(quotaServer) && each.message() instanceof QuotaMessage.NotRun)
         .count();
   }
 
   @Test
-  public void theHomesOfTheOwnRegionComeFirst() {
-    assertTrue(homes.get(0).startsWith("n"), homes.toString());
-    assertTrue(homes.get(1).startsWith("n"), homes.toString());
-    assertTrue(homes.get(2).startsWith("s"), homes.toString());
+  public void theQuotaServersOfTheOwnRegionComeFirst() {
+    assertTrue(quotaServers.get(0).startsWith("n"), quotaServers.toString());
+    assertTrue(quotaServers.get(1).startsWith("n"), quotaServers.toString());
+    assertTrue(quotaServers.get(2).startsWith("s"), quotaServers.toString());
   }
 
   @Test
   public void operationsThatComeTogetherGoInOneMessage() {
-    quotas.admit(LIMITED, new HomedQuotasTest.Ignored());
-    quotas.admit(LIMITED, new HomedQuotasTest.Ignored());
+    quotas.admit(LIMITED, new QuotaClientTest.Ignored());
+    quotas.admit(LIMITED, new QuotaClientTest.Ignored());
     pass(1);
     assertEquals(sent.size(), 1);
-    assertEquals(((HomeMessage.Ask) sent.get(0).message()).tenants().size(), 2);
+    assertEquals(((QuotaMessage.Ask) sent.get(0).message()).tenants().size(), 2);
   }
 
   @Test
-  public void aHomeAdmitsAndHearsWhatDidNotRun() {
+  public void aQuotaServerAdmitsAndHearsWhatDidNotRun() {
     ask();
-    answer(homes.get(0), admitted(1));
+    answer(quotaServers.get(0), admitted(1));
     assertEquals(permits.size(), 1);
     permits.get(0).giveBack();
     pass(1);
-    assertEquals(notRun(homes.get(0)), 1);
+    assertEquals(notRun(quotaServers.get(0)), 1);
   }
 
   @Test
-  public void aSilentHomeIsFollowedByTheNextAndAskedAgainOnceItSpeaks() {
+  public void aSilentQuotaServerIsFollowedByTheNextAndAskedAgainOnceItSpeaks() {
     ask();
     pass(101);
-    assertEquals(askedHomes(), homes.subList(0, 2));
-    assertEquals(notRun(homes.get(0)), 1, "it may have admitted what now runs by another's word");
-    answer(homes.get(0), admitted(1));
+    assertEquals(askedQuotaServers(), quotaServers.subList(0, 2));
+    assertEquals(
+        notRun(quotaServers.get(0)), 1, "it may have admitted what now runs by another's word");
+    answer(quotaServers.get(0), admitted(1));
     assertEquals(permits.size(), 0, "given back already");
     sent.clear();
     ask();
-    assertEquals(askedHomes(), homes.subList(0, 1), "it has spoken again");
+    assertEquals(askedQuotaServers(), quotaServers.subList(0, 1), "it has spoken again");
   }
 
   @Test
-  public void aSuspectedHomeIsNotWaitedFor() {
+  public void aSuspectedQuotaServerIsNotWaitedFor() {
     ask();
     pass(101);
     sent.clear();
     ask();
-    assertEquals(askedHomes(), homes.subList(1, 2));
+    assertEquals(askedQuotaServers(), quotaServers.subList(1, 2));
     pass(301);
     assertTrue(
-        sent.stream().anyMatch(each -> each.to().equals(homes.get(0))), "a sign of life is asked");
+        sent.stream().anyMatch(each -> each.to().equals(quotaServers.get(0))),
+        "a sign of life is asked");
   }
 
   @Test
-  public void aHomeThatWaitsForTheLeaderIsNotTakenForSilent() {
+  public void aQuotaServerThatWaitsForTheLeaderIsNotTakenForSilent() {
     ask();
-    answer(homes.get(0), new HomeMessage.Waits(new int[] {1}));
+    answer(quotaServers.get(0), new QuotaMessage.Waits(new int[] {1}));
     pass(150);
-    assertEquals(askedHomes().size(), 1);
-    answer(homes.get(0), admitted(1));
+    assertEquals(askedQuotaServers().size(), 1);
+    answer(quotaServers.get(0), admitted(1));
     assertEquals(permits.size(), 1);
   }
 
   @Test
-  public void withoutRoomAtOneHomeTheNextIsAsked() {
+  public void withoutRoomAtOneQuotaServerTheNextIsAsked() {
     ask();
-    answer(homes.get(0), refused(1, Reason.NO_ANSWER));
-    assertEquals(askedHomes(), homes.subList(0, 2));
+    answer(quotaServers.get(0), refused(1, Reason.NO_ANSWER));
+    assertEquals(askedQuotaServers(), quotaServers.subList(0, 2));
     assertTrue(refusals.isEmpty());
   }
 
@@ -204,7 +207,7 @@
   @Test
   public void whereTheLimitIsUsedUpOperationsAreRefusedAtOnceWithTheTimeToComeBack() {
     ask();
-    answer(homes.get(0), refused(1, Reason.NO_MORE));
+    answer(quotaServers.get(0), refused(1, Reason.NO_MORE));
     assertEquals(refusals.get(0).retryAfterMillis(), 300);
     pass(100);
     sent.clear();
@@ -217,7 +220,7 @@
   }
 
   @Test
-  public void withoutAnyHomeItIsRefusedBeforeItsWaitIsOver() {
+  public void withoutAnyQuotaServerItIsRefusedBeforeItsWaitIsOver() {
     ask();
     pass(451);
     assertEquals(refusals.get(0).reason(), Reason.SILENT);
@@ -230,26 +233,26 @@
   public void anOldPermitIsNotUsed() {
     ask();
     frozenMillis = 451;
-    answer(homes.get(0), admitted(1));
+    answer(quotaServers.get(0), admitted(1));
     assertTrue(permits.isEmpty());
-    assertEquals(notRun(homes.get(0)), 1);
+    assertEquals(notRun(quotaServers.get(0)), 1);
   }
 
   @Test
   public void whatIsTakenBackDoesNotCount() {
     ask().dispose();
     pass(1);
-    assertEquals(notRun(homes.get(0)), 1);
-    answer(homes.get(0), admitted(1));
+    assertEquals(notRun(quotaServers.get(0)), 1);
+    answer(quotaServers.get(0), admitted(1));
     assertTrue(permits.isEmpty());
   }
 
   @Test
-  public void aLostLinkLeadsToTheNextHome() {
+  public void aLostLinkLeadsToTheNextQuotaServer() {
     ask();
-    quotas.linkLost(homes.get(0));
+    quotas.linkLost(quotaServers.get(0));
     pass(1);
-    assertEquals(askedHomes(), homes.subList(0, 2));
+    assertEquals(askedQuotaServers(), quotaServers.subList(0, 2));
   }
 
   /** Runs its tasks late, as after a freeze. */
--- a/server/src/test/java/org/streamcourse/request/quota/QuotaPaceTest.java
+++ b/server/src/test/java/org/streamcourse/request/quota/QuotaPacingTest.java
@@ -10,10 +10,10 @@
 import org.testng.annotations.Test;
 
 /** A later run of a node uses the share of the former one at once, and no window holds too much. */
-public class QuotaPaceTest {
+public class QuotaPacingTest {
   private static final long WINDOW_MILLIS = 5_000;
   private static final int NO_CEILING = Integer.MAX_VALUE;
-  private static final QuotaPace PACE = QuotaPace.of(WINDOW_MILLIS);
+  private static final QuotaPacing PACING = QuotaPacing.of(WINDOW_MILLIS);
 
   /** Runs that start at random times, use all they may in random spurts, and rise now and then. */
   @Test
@@ -22,14 +22,14 @@
     for (int round = 0; round < 300; round++) {
       int share = 1 + random.nextInt(120);
       Deque<Long> ran = new ArrayDeque<>();
-      LocalQuota quota = new LocalQuota(PACE, 0);
+      LocalQuota quota = new LocalQuota(PACING, 0);
       quota.told(1, share, 0, NO_CEILING, false, 0);
       long number = 1;
       double eagerness = random.nextDouble();
       for (long now = 0; now < 40_000; now += 1 + random.nextLong(60)) {
         if (random.nextInt(150) == 0) {
           number++;
-          quota = new LocalQuota(PACE, now);
+          quota = new LocalQuota(PACING, now);
           long heard = now + random.nextLong(300);
           quota.told(number, share, share, NO_CEILING, false, heard);
           now = heard;
@@ -51,28 +51,28 @@
 
   @Test
   public void aShareOfAFormerRunIsOfUseLongBeforeAWindowIsOver() {
-    LocalQuota quota = new LocalQuota(PACE, 0);
+    LocalQuota quota = new LocalQuota(PACING, 0);
     quota.told(1, 100, 100, NO_CEILING, false, 2_500);
     int taken = 0;
     while (quota.take(2_500)) {
       taken++;
     }
     assertTrue(taken > 10, taken + " of 100 after half a window");
-    LocalQuota unpaced = new LocalQuota(QuotaPace.none(WINDOW_MILLIS), 0);
+    LocalQuota unpaced = new LocalQuota(QuotaPacing.none(WINDOW_MILLIS), 0);
     unpaced.told(1, 100, 100, NO_CEILING, false, 2_500);
     assertEquals(unpaced.take(2_500), false, "the former run may have used all of it");
   }
 
   @Test
   public void whatWasFreeBesidesIsOfUseAtOnce() {
-    LocalQuota quota = new LocalQuota(PACE, 0);
+    LocalQuota quota = new LocalQuota(PACING, 0);
     quota.told(1, 60, 20, NO_CEILING, false, 0);
     assertTrue(quota.take(0));
   }
 
   @Test
   public void aTenantThatWantsMoreGetsItsWholeShareInEachWindow() {
-    LocalQuota quota = new LocalQuota(PACE, 0);
+    LocalQuota quota = new LocalQuota(PACING, 0);
     quota.told(1, 50, 0, NO_CEILING, false, 0);
     int taken = 0;
     for (long now = 0; now < 8 * WINDOW_MILLIS; now += 10) {
@@ -83,7 +83,7 @@
 
   @Test
   public void aShareThatWasDroppedComesBackOnlyWithANewNumber() {
-    LocalQuota quota = new LocalQuota(PACE, 0);
+    LocalQuota quota = new LocalQuota(PACING, 0);
     quota.told(3, 10, 0, NO_CEILING, false, 0);
     assertTrue(quota.take(0));
     quota.drop();
--- a/server/src/test/java/org/streamcourse/request/quota/TenantQuotasTest.java
+++ b/server/src/test/java/org/streamcourse/request/quota/TenantQuotasTest.java
@@ -39,7 +39,7 @@
     admitted = 0;
     confirmed = true;
     quotas =
-        new TenantQuotas(worker, QuotaPace.none(5_000), "n1", RUN, () -> confirmed, reports::add);
+        new TenantQuotas(worker, QuotaPacing.none(5_000), "n1", RUN, () -> confirmed, reports::add);
     worker.repeat(100, () -> quotas.check());
   }
 
--- a/server/src/test/java/org/streamcourse/request/routing/MemberChoiceLoadTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/MemberChoiceLoadTest.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.streamcourse.connection.member.MemberKnowledge;
-import org.streamcourse.connection.member.MemberNews;
+import org.streamcourse.connection.member.MemberObservation;
+import org.streamcourse.connection.member.MemberState;
 import org.streamcourse.connection.member.ReadFloor;
 import org.streamcourse.version.image.MemberId;
 import org.streamcourse.version.image.TenantId;
@@ -24,8 +24,8 @@
 /**
  * Two ways to choose a read's member, on the same seeds and loads: by the answers that each node
  * has had itself, with a short memory of BEHIND, as it used to be; and by expected finish with what
- * holders tell ({@link MemberChoice}, {@link MemberKnowledge}). A model of 40 nodes in three
- * regions before one primary and two replicas of four slots each, with one holder a member.
+ * holders tell ({@link MemberChoice}, {@link MemberState}). A model of 40 nodes in three regions
+ * before one primary and two replicas of four slots each, with one holder a member.
  */
 public class MemberChoiceLoadTest {
   private static final Logger LOG = LoggerFactory.getLogger(MemberChoiceLoadTest.class);
@@ -183,8 +183,8 @@
     private final class Server {
       private final int number;
       private final Deque<Runnable> queue = new ArrayDeque<>();
-      private final MemberKnowledge holder =
-          new MemberKnowledge(() -> now, this::waitMillis, () -> Long.MAX_VALUE);
+      private final MemberState holder =
+          new MemberState(() -> now, this::waitMillis, () -> Long.MAX_VALUE);
       private int busy;
       private long shown;
       private long toldLag;
@@ -251,15 +251,16 @@
         }
         holder.primaryHad(servers.get(0).position(), 2 * FAR_MILLIS);
         holder.heard(position());
-        MemberNews news = holder.news();
+        MemberObservation observation = holder.observation();
         boolean changed =
-            news.lagMillis() > 4 * toldLag
-                || 4 * news.lagMillis() < toldLag
+            observation.lagMillis() > 4 * toldLag
+                || 4 * observation.lagMillis() < toldLag
                 || now - toldMillis >= 1_000;
         if (changed || !behind) {
-          toldLag = behind ? news.lagMillis() : 0;
+          toldLag = behind ? observation.lagMillis() : 0;
           toldMillis = now;
-          nodes.forEach(node -> after(node.way(number), () -> node.known.get(number).told(news)));
+          nodes.forEach(
+              node -> after(node.way(number), () -> node.known.get(number).told(observation)));
         }
       }
     }
@@ -270,13 +271,13 @@
       private final PrimaryPositions positions = new PrimaryPositions();
       private final List<AnswerTimes> times = new ArrayList<>();
       private final long[] behindMillis = new long[MEMBERS];
-      private final List<MemberKnowledge> known = new ArrayList<>();
+      private final List<MemberState> known = new ArrayList<>();
 
       Node(int number) {
         region = number % MEMBERS;
         for (int i = 0; i < MEMBERS; i++) {
           times.add(new AnswerTimes(i == region ? 20 : 60));
-          known.add(new MemberKnowledge(() -> now, () -> 0, () -> Long.MAX_VALUE));
+          known.add(new MemberState(() -> now, () -> 0, () -> Long.MAX_VALUE));
         }
       }
 
@@ -433,12 +434,12 @@
       /** Not run: a way and back were lost. */
       private void back(int member) {
         result.behind += counted ? 1 : 0;
-        MemberNews news = servers.get(member).holder.news();
+        MemberObservation observation = servers.get(member).holder.observation();
         after(
             node.way(member),
             () -> {
               node.behindMillis[member] = now;
-              node.known.get(member).told(news);
+              node.known.get(member).told(observation);
               tried.add(member);
               next();
             });
@@ -446,12 +447,12 @@
 
       private void answered(int member) {
         servers.get(member).holder.heard(servers.get(member).position());
-        MemberNews news = servers.get(member).holder.news();
+        MemberObservation observation = servers.get(member).holder.observation();
         after(
             node.way(member),
             () -> {
               node.times.get(member).add(now - sentMillis, now);
-              node.known.get(member).told(news);
+              node.known.get(member).told(observation);
               if (counted) {
                 long took = now - startedMillis;
                 result.tookMillis += took;
--- a/server/src/test/java/org/streamcourse/request/routing/RelayFleet.java
+++ b/server/src/test/java/org/streamcourse/request/routing/RelayFleet.java
@@ -41,7 +41,7 @@
               table::held,
               () -> REST_MILLIS,
               new RequestLog(new LineBudget(0, service.worker::now), 0));
-      connectNews(table, server);
+      connectObservations(table, server);
       table.update(ScriptedService.image(nodeCount));
       service.worker.repeat(HEALTH_MILLIS, this::check);
     }
@@ -108,7 +108,7 @@
     return new ArrayList<>(nodes.values());
   }
 
-  private static void connectNews(MemberTable table, RelayServer server) {
-    table.onNews(server::tellNews);
+  private static void connectObservations(MemberTable table, RelayServer server) {
+    table.setObservationListener(server::sendObservation);
   }
 }
--- a/server/src/test/java/org/streamcourse/request/routing/ScriptedService.java
+++ b/server/src/test/java/org/streamcourse/request/routing/ScriptedService.java
@@ -27,7 +27,7 @@
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.MemberId;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.RegisteredMember;
 import org.streamcourse.version.image.RouteConsistency;
 import org.streamcourse.version.image.RouteRule;
@@ -112,7 +112,7 @@
   /** A node of the fleet; all are in the members' zone. */
   static NodeImage node(int number) {
     String host = "10.0.1." + number;
-    return new NodeImage(host + ":1", 1, host, 1, new Place("r", "z"), false);
+    return new NodeImage(host + ":1", 1, host, 1, new Placement("r", "z"), false);
   }
 
   /** Members take a new connection only in place of one that has ended since, or any again. */
--- a/server/src/test/java/org/streamcourse/request/routing/SharedKnowledgeTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/SharedMemberStateTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** What one node has seen of a member keeps the reads of others from it. */
-public class SharedKnowledgeTest {
+public class SharedMemberStateTest {
   private static final int NODES = 40;
   private static final long WAY_MILLIS = 5;
 
--- a/server/src/test/java/org/streamcourse/version/control/AllowancePlannerTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/AllowancePlannerTest.java
@@ -11,7 +11,7 @@
 import org.streamcourse.version.image.Allowance;
 import org.streamcourse.version.image.MemberImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 
 /** Gateways are placed near their member, move little, and never get more than its limits. */
@@ -20,12 +20,12 @@
   private static final int SLOTS = 5;
 
   private static NodeImage node(int number, String zone) {
-    return new NodeImage("p" + number, 1, "127.0.0.1", number, new Place("r1", zone), false);
+    return new NodeImage("p" + number, 1, "127.0.0.1", number, new Placement("r1", zone), false);
   }
 
   private static MemberImage member(String name, List<Allowance> allowances) {
-    Place place = new Place("r1", "z1");
-    return new MemberImage(name, "127.0.0.1", 1, place, CONNECTIONS, SLOTS, false, allowances);
+    Placement placement = new Placement("r1", "z1");
+    return new MemberImage(name, "127.0.0.1", 1, placement, CONNECTIONS, SLOTS, false, allowances);
   }
 
   @Test
@@ -35,7 +35,7 @@
       nodes.add(node(i, i < 2 ? "z1" : "z2"));
     }
     List<NodeImage> chosen = AllowancePlanner.chooseGateways("g", member("m", List.of()), nodes);
-    assertTrue(chosen.stream().allMatch(each -> each.place().zone().equals("z1")));
+    assertTrue(chosen.stream().allMatch(each -> each.placement().zone().equals("z1")));
   }
 
   @Test
--- a/server/src/test/java/org/streamcourse/version/control/GroupSupervisorTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/GroupSupervisorTest.java
@@ -16,7 +16,7 @@
 import org.streamcourse.version.image.GroupRules;
 import org.streamcourse.version.image.MemberImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.TermPosition;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -24,7 +24,7 @@
 /** What the leader makes of a promoted member's word when heartbeats are lost. */
 public class GroupSupervisorTest {
   private static final String GROUP = "bookings";
-  private static final Place PLACE = new Place("r", "z");
+  private static final Placement PLACEMENT = new Placement("r", "z");
   private static final long TERM = 4;
   private static final long CHOSEN_AT = 14_800;
   private static final long STEP_MILLIS = 50;
@@ -82,7 +82,7 @@
     for (String gateway : gateways) {
       allowances.add(new Allowance(gateway, 8, 2));
     }
-    return new MemberImage(name, "127.0.0.1", 1, PLACE, 16, 5, false, allowances);
+    return new MemberImage(name, "127.0.0.1", 1, PLACEMENT, 16, 5, false, allowances);
   }
 
   private static MemberStatus status(long term, MemberRole role, String upstream) {
@@ -113,7 +113,7 @@
     sequence++;
     registry.heard(
         new NodeHeartbeat(
-            new NodeImage(node, 1, "127.0.0.1", 1, PLACE, false),
+            new NodeImage(node, 1, "127.0.0.1", 1, PLACEMENT, false),
             sequence,
             1,
             1,
--- a/server/src/test/java/org/streamcourse/version/control/ImageStoreTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/ImageStoreTest.java
@@ -12,7 +12,7 @@
 import org.streamcourse.version.image.ClusterDelta;
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 
 /** A node finds the newest image again, whenever it ends. */
@@ -26,7 +26,7 @@
   private static ClusterDelta delta(ClusterImage image) {
     String name = "node" + image.version() % 50;
     NodeImage node =
-        new NodeImage(name, image.version() + 1, "127.0.0.1", 1, new Place("r", "z"), false);
+        new NodeImage(name, image.version() + 1, "127.0.0.1", 1, new Placement("r", "z"), false);
     return new ClusterDelta(image.version(), List.of(new ClusterChange.NodeAdmitted(node)));
   }
 
--- a/server/src/test/java/org/streamcourse/version/control/NodeAdmissionTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/NodeAdmissionTest.java
@@ -15,13 +15,13 @@
 import org.streamcourse.version.image.GroupRules;
 import org.streamcourse.version.image.MemberImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 
 /** Allowances reach their goal also when nothing but heartbeats happens any more. */
 public class NodeAdmissionTest {
   private static final String GROUP = "bookings";
-  private static final Place PLACE = new Place("r", "z");
+  private static final Placement PLACEMENT = new Placement("r", "z");
   private static final long VERSION = 7;
 
   private final List<ClusterChange> proposed = new ArrayList<>();
@@ -56,11 +56,11 @@
       };
 
   private static NodeImage node(String name) {
-    return new NodeImage(name, 1, "127.0.0.1", 1, PLACE, false);
+    return new NodeImage(name, 1, "127.0.0.1", 1, PLACEMENT, false);
   }
 
   private static ClusterImage image(List<Allowance> allowances) {
-    MemberImage member = new MemberImage("m1", "127.0.0.1", 1, PLACE, 8, 4, false, allowances);
+    MemberImage member = new MemberImage("m1", "127.0.0.1", 1, PLACEMENT, 8, 4, false, allowances);
     GroupImage group = new GroupImage(GROUP, 1, "m1", List.of(member), GroupRules.DEFAULT);
     return new ClusterImage(
         VERSION,
--- a/server/src/test/java/org/streamcourse/version/control/NodeAgentTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/NodeAgentTest.java
@@ -14,7 +14,7 @@
 import org.streamcourse.version.control.ControlMessage.MemberReport;
 import org.streamcourse.version.control.ControlMessage.NodeHeartbeat;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.TermPosition;
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
@@ -36,7 +36,7 @@
             StreamTypes.codec(),
             ControlSettings.DEFAULT,
             CONTROLLERS,
-            new NodeImage("n:1", 1, "n", 1, new Place("r", "z"), false));
+            new NodeImage("n:1", 1, "n", 1, new Placement("r", "z"), false));
     agent.start();
     clock.advanceTimeBy(Duration.ofMillis(TWO_ROUNDS_MILLIS));
     for (String controller : CONTROLLERS) {
@@ -57,7 +57,7 @@
             StreamTypes.codec(),
             ControlSettings.DEFAULT,
             List.of("c1:1"),
-            new NodeImage("n:1", 1, "n", 1, new Place("r", "z"), false));
+            new NodeImage("n:1", 1, "n", 1, new Placement("r", "z"), false));
     agent.start();
     answer(agent, last(sent));
     clock.advanceTimeBy(Duration.ofMillis(ControlSettings.DEFAULT.heartbeatMillis()));
--- a/server/src/test/java/org/streamcourse/version/control/NodeRegistryTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/NodeRegistryTest.java
@@ -6,13 +6,14 @@
 import org.streamcourse.version.control.ControlMessage.MemberReport;
 import org.streamcourse.version.control.ControlMessage.NodeHeartbeat;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.TermPosition;
 import org.testng.annotations.Test;
 
 /** What the leader believes of nodes whose heartbeats change their order, or that start again. */
 public class NodeRegistryTest {
-  private static final NodeImage NODE = new NodeImage("n:1", 1, "n", 1, new Place("r", "z"), false);
+  private static final NodeImage NODE =
+      new NodeImage("n:1", 1, "n", 1, new Placement("r", "z"), false);
 
   private static NodeHeartbeat heartbeat(long sequence, boolean reachable) {
     MemberStatus status =
@@ -78,7 +79,7 @@
   private static NodeHeartbeat heartbeatOf(String name, long sequence, MemberRole role) {
     MemberStatus status =
         new MemberStatus(4, role, "", TermPosition.ZERO, TermPosition.ZERO, TermPosition.ZERO);
-    NodeImage node = new NodeImage(name, 1, "n", 1, new Place("r", "z"), false);
+    NodeImage node = new NodeImage(name, 1, "n", 1, new Placement("r", "z"), false);
     MemberReport report = new MemberReport("g", "m", true, status);
     return new NodeHeartbeat(node, sequence, 1, 0, false, 0, false, List.of(report));
   }
--- a/server/src/test/java/org/streamcourse/version/control/QuotaWay.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaWay.java
@@ -1,7 +1,7 @@
 package org.streamcourse.version.control;
 
-import org.streamcourse.request.quota.HomeOrder;
-import org.streamcourse.request.quota.QuotaPace;
+import org.streamcourse.request.quota.QuotaPacing;
+import org.streamcourse.request.quota.QuotaServerOrder;
 
 /** How a node of a {@link QuotaWorld} decides. */
 enum QuotaWay {
@@ -11,23 +11,23 @@
   SHARES(null, false),
   /** The same, used at a pace. */
   PACED_SHARES(null, true),
-  /** Shares for one home in each region, used at once. */
-  REGION_HOMES(HomeOrder.Scope.REGION, false),
-  /** Shares for one home in each region, used at a pace. */
-  PACED_REGION_HOMES(HomeOrder.Scope.REGION, true),
-  /** Shares for one home in each zone, used at a pace. */
-  PACED_ZONE_HOMES(HomeOrder.Scope.ZONE, true),
-  /** Shares for one home, used at a pace. */
-  PACED_FLEET_HOMES(HomeOrder.Scope.FLEET, true);
+  /** Shares for one quota server in each region, used at once. */
+  REGION_HOMES(QuotaServerOrder.Scope.REGION, false),
+  /** Shares for one quota server in each region, used at a pace. */
+  PACED_REGION_HOMES(QuotaServerOrder.Scope.REGION, true),
+  /** Shares for one quota server in each zone, used at a pace. */
+  PACED_ZONE_HOMES(QuotaServerOrder.Scope.ZONE, true),
+  /** Shares for one quota server, used at a pace. */
+  PACED_FLEET_HOMES(QuotaServerOrder.Scope.FLEET, true);
 
-  final HomeOrder.Scope scope;
-  final QuotaPace pace;
+  final QuotaServerOrder.Scope scope;
+  final QuotaPacing pacing;
 
-  QuotaWay(HomeOrder.Scope scope, boolean paced) {
+  QuotaWay(QuotaServerOrder.Scope scope, boolean paced) {
     this.scope = scope;
-    this.pace =
+    this.pacing =
         paced
-            ? QuotaPace.of(QuotaWorld.SETTINGS.windowMillis())
-            : QuotaPace.none(QuotaWorld.SETTINGS.windowMillis());
+            ? QuotaPacing.of(QuotaWorld.SETTINGS.windowMillis())
+            : QuotaPacing.none(QuotaWorld.SETTINGS.windowMillis());
   }
 }
--- a/server/src/test/java/org/streamcourse/version/control/QuotaWorld.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaWorld.java
@@ -12,15 +12,15 @@
 import org.streamcourse.process.SchedulerWorker;
 import org.streamcourse.process.Worker;
 import org.streamcourse.request.StreamTypes;
-import org.streamcourse.request.quota.HomeMessage;
-import org.streamcourse.request.quota.HomeOrder;
-import org.streamcourse.request.quota.HomedQuotas;
 import org.streamcourse.request.quota.LocalQuota;
 import org.streamcourse.request.quota.OperationLimits;
-import org.streamcourse.request.quota.QuotaPace;
+import org.streamcourse.request.quota.QuotaClient;
+import org.streamcourse.request.quota.QuotaMessage;
+import org.streamcourse.request.quota.QuotaPacing;
 import org.streamcourse.request.quota.QuotaPermit;
 import org.streamcourse.request.quota.QuotaRefusal;
 import org.streamcourse.request.quota.QuotaRequest;
+import org.streamcourse.request.quota.QuotaServerOrder;
 import org.streamcourse.request.quota.QuotaSettings;
 import org.streamcourse.request.quota.TenantQuotas;
 import org.streamcourse.version.control.ControlMessage.QuotaNews;
@@ -29,7 +29,7 @@
 import org.streamcourse.version.image.ClusterChange;
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.QuotaHolder;
 import org.streamcourse.version.image.RoutingDocument;
 import org.streamcourse.version.image.SessionLimits;
@@ -62,12 +62,12 @@
   /** One node with its present run. */
   final class Node {
     final String name;
-    private final Place place;
+    private final Placement placement;
     private long run;
     boolean cut;
     boolean down;
     long frozenUntil;
-    private HomedQuotas homes;
+    private QuotaClient quotaClient;
     private OperationLimits limits;
     private long lastConfirmed;
     private TenantQuotas quotas;
@@ -76,11 +76,11 @@
     Node(int number) {
       this.name = "n" + number;
       int zone = number % ZONES;
-      this.place = new Place("r" + zone / ZONES_OF_A_REGION, "z" + zone);
+      this.placement = new Placement("r" + zone / ZONES_OF_A_REGION, "z" + zone);
     }
 
     private NodeImage image() {
-      return new NodeImage(name, 1, "", 1, place, false);
+      return new NodeImage(name, 1, "", 1, placement, false);
     }
 
     void start() {
@@ -92,32 +92,32 @@
       quotas =
           new TenantQuotas(
               new RunWorker(this, ofRun),
-              way.pace,
+              way.pacing,
               name,
               run,
               () -> now() - lastConfirmed < QuotaPlanner.HOLD_MILLIS,
               report -> toLeader(report));
       limits = quotas;
       if (way.scope != null) {
-        homes =
-            new HomedQuotas(
+        quotaClient =
+            new QuotaClient(
                 new RunWorker(this, ofRun),
                 (peer, message) -> toNode(this, peer, message),
                 quotas,
                 name,
-                new HomeOrder(way.scope, place),
+                new QuotaServerOrder(way.scope, placement),
                 () -> image,
                 random.nextLong() >>> 1);
-        limits = homes;
+        limits = quotaClient;
       }
       worker(ofRun)
           .repeat(
               TICK_MILLIS,
               () -> {
-                if (homes == null) {
+                if (quotaClient == null) {
                   quotas.check();
                 } else {
-                  homes.check();
+                  quotaClient.check();
                 }
               });
       worker(ofRun).repeat(HEARTBEAT_MILLIS, this::heartbeat);
@@ -163,7 +163,7 @@
         int part = SETTINGS.budget(tenant.rule()) / nodes.size();
         LocalQuota quota =
             parts.computeIfAbsent(
-                tenant.id, any -> new LocalQuota(QuotaPace.none(SETTINGS.windowMillis()), 0));
+                tenant.id, any -> new LocalQuota(QuotaPacing.none(SETTINGS.windowMillis()), 0));
         quota.told(part, part, 0, part, true, now());
         outcome(tenant, quota.take(now()));
         return;
@@ -334,7 +334,7 @@
     long way = 1 + random.nextLong(MOST_WAY_MILLIS);
     clock.schedule(
         () -> {
-          if (!node.cut && !leaderless && !node.place.region().equals(cutRegion)) {
+          if (!node.cut && !leaderless && !node.placement.region().equals(cutRegion)) {
             arrive.run();
           }
         },
@@ -346,7 +346,7 @@
   private void toNode(Node from, String peer, Object message) {
     Node to = nodes.get(Integer.parseInt(peer.substring(1)));
     int size = CODEC.encode(message).length;
-    int distance = from.place.distanceTo(to.place);
+    int distance = from.placement.distanceTo(to.placement);
     figures.messages++;
     figures.bytes += size;
     figures.bytesBetweenRegions += distance > 1 ? size : 0;
@@ -359,7 +359,8 @@
     int toRun = (int) to.run;
     boolean cutApart =
         distance > 1
-            && (from.place.region().equals(cutRegion) || to.place.region().equals(cutRegion));
+            && (from.placement.region().equals(cutRegion)
+                || to.placement.region().equals(cutRegion));
     if (!cutApart) {
       clock.schedule(() -> arrive(from, to, toRun, message), micros, TimeUnit.MICROSECONDS);
     }
@@ -367,7 +368,7 @@
 
   private static void arrive(Node from, Node to, int toRun, Object message) {
     if (to.run == toRun && !to.down) {
-      to.worker(toRun).execute(() -> to.homes.receive(from.name, (HomeMessage) message));
+      to.worker(toRun).execute(() -> to.quotaClient.receive(from.name, (QuotaMessage) message));
     }
   }
 
--- a/server/src/test/java/org/streamcourse/version/control/QuotaWorldTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaWorldTest.java
@@ -57,11 +57,11 @@
   @Test
   public void littleIsRefusedBelowALimitOnACalmDay() {
     long seeds = 2;
-    QuotaFigures homes =
+    QuotaFigures quotaServers =
         run(QuotaWay.PACED_REGION_HOMES, QuotaFaults.NONE, 1, seeds, NODES, TENANTS);
-    double others = refusedBelowLimit(homes) - refusedBelowLimitOfGreedy(homes);
+    double others = refusedBelowLimit(quotaServers) - refusedBelowLimitOfGreedy(quotaServers);
     assertTrue(others < 5, others + " of 10,000 refused below the limit");
-    assertTrue(homes.greedyUse / seeds > 0.9, "the greedy tenant gets what it is allowed");
+    assertTrue(quotaServers.greedyUse / seeds > 0.9, "the greedy tenant gets what it is allowed");
   }
 
   @Test
@@ -76,15 +76,19 @@
   /** All machines have lost power: what former runs had is of use at once. */
   @Test
   public void afterALossOfAllPowerTenantsAreServedWithTheirFormerShares() {
-    QuotaFigures homes = run(QuotaWay.PACED_REGION_HOMES, QuotaFaults.POWER, 1, 3, NODES, TENANTS);
-    assertTrue(admittedAfterLoss(homes) > 0.8, admittedAfterLoss(homes) + " admitted");
+    QuotaFigures quotaServers =
+        run(QuotaWay.PACED_REGION_HOMES, QuotaFaults.POWER, 1, 3, NODES, TENANTS);
+    assertTrue(
+        admittedAfterLoss(quotaServers) > 0.8, admittedAfterLoss(quotaServers) + " admitted");
   }
 
-  /** While the leader is frozen homes go on with the shares they have. */
+  /** While the leader is frozen quota servers go on with the shares they have. */
   @Test
   public void withoutALeaderTenantsAreServed() {
-    QuotaFigures homes = run(QuotaWay.PACED_REGION_HOMES, QuotaFaults.LEADER, 1, 3, NODES, TENANTS);
-    assertTrue(admittedAfterLoss(homes) > 0.8, admittedAfterLoss(homes) + " admitted");
+    QuotaFigures quotaServers =
+        run(QuotaWay.PACED_REGION_HOMES, QuotaFaults.LEADER, 1, 3, NODES, TENANTS);
+    assertTrue(
+        admittedAfterLoss(quotaServers) > 0.8, admittedAfterLoss(quotaServers) + " admitted");
   }
 
   /**
--- a/server/src/test/java/org/streamcourse/version/control/ServiceSupervisorTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/ServiceSupervisorTest.java
@@ -21,7 +21,7 @@
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.MemberId;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.RegisteredMember;
 import org.streamcourse.version.image.RoutingDocument;
 import org.streamcourse.version.image.ServiceImage;
@@ -140,7 +140,7 @@
   }
 
   private void report(String node, MemberReport report, boolean all) {
-    NodeImage self = new NodeImage(node, 1, "h", 1, new Place("r", "z"), false);
+    NodeImage self = new NodeImage(node, 1, "h", 1, new Placement("r", "z"), false);
     registry.heard(new NodeHeartbeat(self, 1, 1, 1, false, 0, all, List.of(report)), now, true);
   }
 
--- a/server/src/test/java/org/streamcourse/version/control/SynchronousReplicasTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/SynchronousReplicasTest.java
@@ -19,7 +19,7 @@
 import org.streamcourse.version.image.ClusterImage;
 import org.streamcourse.version.image.MemberId;
 import org.streamcourse.version.image.NodeImage;
-import org.streamcourse.version.image.Place;
+import org.streamcourse.version.image.Placement;
 import org.streamcourse.version.image.RegisteredMember;
 import org.streamcourse.version.image.RoutingDocument;
 import org.streamcourse.version.image.ServiceImage;
@@ -158,7 +158,7 @@
   }
 
   private void unreachable(String... ids) {
-    NodeImage self = new NodeImage("p1", 1, "h", 1, new Place("r", "z"), false);
+    NodeImage self = new NodeImage("p1", 1, "h", 1, new Placement("r", "z"), false);
     List<MemberReport> reports = new ArrayList<>();
     for (String id : ids) {
       reports.add(new MemberReport(SERVICE, new MemberId(id).value(), false, MemberStatus.UNKNOWN));
--- a/server/src/test/java/org/streamcourse/version/image/LinkSharesTest.java
+++ b/server/src/test/java/org/streamcourse/version/image/LinkSharesTest.java
@@ -20,8 +20,8 @@
   private static NodeImage node(int number, int zonesOfRegion) {
     int region = number % REGIONS;
     int zone = number / REGIONS % zonesOfRegion;
-    Place place = new Place("region-" + region, "zone-" + region + '-' + zone);
-    return new NodeImage("10.0.0." + number + ":1", 1, "10.0.0." + number, 1, place, false);
+    Placement placement = new Placement("region-" + region, "zone-" + region + '-' + zone);
+    return new NodeImage("10.0.0." + number + ":1", 1, "10.0.0." + number, 1, placement, false);
   }
 
   private static final TenantRule TENANT =
@@ -82,7 +82,7 @@
     int owned = 0;
     assertEquals(new LinkShares(image).fewHolders(SERVICE, MEMBER).orElseThrow(), holders);
     for (String holder : holders) {
-      assertEquals(image.nodes().get(holder).place().zone(), MEMBER.zone());
+      assertEquals(image.nodes().get(holder).placement().zone(), MEMBER.zone());
       boolean owns = share(image, holder).role() == LinkShare.Role.OWNER;
       assertEquals(share(image, holder).links(), owns ? 41 : 5);
       owned += owns ? 1 : 0;
