--- a/server/src/main/java/org/streamcourse/connection/frontend/ConnectionSession.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/ConnectionSession.java
@@ -79,7 +79,7 @@
     this.settings = settings;
     this.group = group;
     this.user = user;
-    this.log = new RequestLog(edge.self(), edge.nextSession(), group, edge.failuresTold());
+    this.log = new RequestLog(edge.self(), edge.nextSession(), group, edge.failureLogBudget());
     this.executor = new RequestExecutor(edge, worker, this);
     this.unit = newUnit();
   }
--- a/server/src/main/java/org/streamcourse/request/edge/AnswerParts.java
+++ b/server/src/main/java/org/streamcourse/request/edge/AnswerParts.java
@@ -5,23 +5,23 @@
 import org.streamcourse.request.StreamMessage.UnitDone;
 
 /**
- * Counts the parts of the answers on one stream. A part may be lost with a link, and what follows
- * it may come on the next link.
+ * Detects gaps in the numbered answer parts of one stream. A part may be lost when a peer link
+ * breaks, while the parts after it arrive over the next peer link.
  */
 final class AnswerParts {
-  private int seen;
+  private int received;
 
-  /** The next stream begins. */
-  void begin() {
-    seen = 0;
+  /** Resets the count for a new stream. */
+  void reset() {
+    received = 0;
   }
 
-  /** Takes in a message of the stream; returns whether a part before it has not come. */
-  boolean missOneBefore(StreamMessage message) {
+  /** Counts a message of the stream; returns whether a part before it is missing. */
+  boolean isGapBefore(StreamMessage message) {
     if (message instanceof Output output) {
-      seen++;
-      return output.number() != seen;
+      received++;
+      return output.number() != received;
     }
-    return message instanceof UnitDone done && done.parts() != seen;
+    return message instanceof UnitDone done && done.parts() != received;
   }
 }
--- a/server/src/main/java/org/streamcourse/request/edge/EdgeNode.java
+++ b/server/src/main/java/org/streamcourse/request/edge/EdgeNode.java
@@ -28,14 +28,14 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * What all sessions of this node share: the routing table, the streams that are open, observations
- * of members, and counters.
+ * State that all caller sessions of this node share: the routing table, the open streams,
+ * observations of members, and counters.
  */
 public final class EdgeNode {
-  private static final int CHECKS_IN_GRACE = 3;
+  private static final int CHECKS_PER_GRACE_PERIOD = 3;
 
-  /** Failed requests that are told in a second; each takes at most 13 lines. */
-  private static final int TOLD_PER_SECOND = 50;
+  /** Failed requests that are logged per second; each writes at most 13 lines. */
+  private static final int LOGGED_FAILURES_PER_SECOND = 50;
 
   private final Worker worker;
   private final PeerNetwork network;
@@ -45,7 +45,7 @@
   private final MemberScores scores;
   private final ReadRouter router;
 
-  private final LineBudget failuresTold;
+  private final LineBudget failureLogBudget;
   private final AtomicLong sessions = new AtomicLong();
   private final RetryBudget retryBudget = new RetryBudget();
   private final WaitingRequests waiting = new WaitingRequests();
@@ -58,15 +58,15 @@
   private final AtomicLong primaryReads = new AtomicLong();
 
   /**
-   * Creates the edge's node part.
+   * Creates the edge of this node.
    *
-   * @param worker worker for supervision and floors
-   * @param network way to gateways
-   * @param agent this node's agent
+   * @param worker runs the supervision of streams and the search for floors
+   * @param network sends messages to gateways
+   * @param agent receives images from the controllers
    * @param settings timing
-   * @param policy how reads are spread
+   * @param policy how reads are distributed among members
    * @param fleetKey signs floors
-   * @param random source of jitter and of choices among gateways
+   * @param random source of jitter and of the choice among gateways
    */
   public EdgeNode(
       Worker worker,
@@ -82,7 +82,7 @@
     this.settings = settings;
     this.fleetKey = fleetKey;
     this.random = random;
-    this.failuresTold = new LineBudget(TOLD_PER_SECOND, worker::now);
+    this.failureLogBudget = new LineBudget(LOGGED_FAILURES_PER_SECOND, worker::now);
     this.scores = new MemberScores(agent.self().placement());
     this.router = new ReadRouter(policy, scores, random);
     this.floorReader = new FloorReader(worker, network, this);
@@ -92,14 +92,14 @@
 
   /** Starts supervision of open streams. */
   public void start() {
-    worker.repeat(settings.replacedGraceMillis() / CHECKS_IN_GRACE, this::checkStreams);
-    worker.repeat(settings.keepAliveMillis(), this::keepStreams);
+    worker.repeat(settings.replacedGraceMillis() / CHECKS_PER_GRACE_PERIOD, this::checkStreams);
+    worker.repeat(settings.keepAliveMillis(), this::sendKeepAlives);
   }
 
   // ---- shared by sessions ----
 
   /**
-   * Returns this node as the controllers know it.
+   * Returns this node as it is registered with the controllers.
    *
    * @return name and incarnation
    */
@@ -108,19 +108,20 @@
   }
 
   /**
-   * Returns what bounds the lines about failed requests.
+   * Returns the limit on log lines about failed requests.
    *
    * @return budget that all sessions of this node share
    */
-  public LineBudget failuresTold() {
-    return failuresTold;
+  public LineBudget failureLogBudget() {
+    return failureLogBudget;
   }
 
   /**
-   * Numbers a session. The number is part of ids that callers are told, so it counts for this node
-   * alone: what a node answers must not depend on others in the same process.
+   * Returns the number for a new session. The number is part of the request ids that callers
+   * receive, so each node counts on its own: its answers must not depend on other nodes in the same
+   * process, as in a simulation.
    *
-   * @return number that no other session of this run of the node has
+   * @return number that is unique within this incarnation of the node
    */
   public long nextSession() {
     return sessions.incrementAndGet();
@@ -154,7 +155,7 @@
   }
 
   /**
-   * Tells whether new work may be taken.
+   * Returns whether this node accepts new requests.
    *
    * @return true while the controllers confirm this node
    */
@@ -163,10 +164,10 @@
   }
 
   /**
-   * Finds a floor at a majority of a group.
+   * Determines a floor from the log positions of a majority of a group.
    *
    * @param group group's name
-   * @param answer gets the floor on the edge's worker
+   * @param answer receives the floor on the edge's worker
    */
   public void readFloor(String group, Consumer<TermPosition> answer) {
     worker.execute(() -> floorReader.read(group, answer));
@@ -200,7 +201,7 @@
   }
 
   /**
-   * Returns the budget of retries.
+   * Returns the retry budget.
    *
    * @return budget that all sessions of this node share
    */
@@ -265,10 +266,10 @@
     } else if (message instanceof Broken broken) {
       dispatch(broken.streamId(), broken);
     } else if (message instanceof PositionReply reply) {
-      worker.execute(() -> floorReader.replied(reply));
+      worker.execute(() -> floorReader.onReply(reply));
     } else if (message instanceof KeepStreams keep) {
       for (long id : keep.streamIds()) {
-        onStream(id, RequestExecutor::kept);
+        onStream(id, RequestExecutor::onKeepAlive);
       }
     }
   }
@@ -277,7 +278,7 @@
     onStream(id, executor -> executor.receive(message));
   }
 
-  /** Runs a task on the stream's worker unless the executor has moved on to another stream. */
+  /** Runs a task on the session's worker unless its executor has switched to another stream. */
   private void onStream(long id, Consumer<RequestExecutor> task) {
     RequestExecutor executor = streams.get(id);
     if (executor != null) {
@@ -293,7 +294,7 @@
   }
 
   /**
-   * Breaks the streams through a gateway, since the link to it broke.
+   * Breaks the streams through a gateway after the peer link to it broke.
    *
    * @param peer the gateway's node
    */
@@ -301,22 +302,23 @@
     streams.forEach(
         (id, executor) -> {
           if (executor.gateway().equals(peer)) {
-            onStream(id, each -> each.onBroken("link", "link to " + peer + " broke"));
+            onStream(id, each -> each.onBroken("link", "peer link to " + peer + " broke"));
           }
         });
   }
 
   /**
-   * Moves on the streams that were not opened, and breaks those that miss a later message.
+   * Handles messages that were dropped before they reached a gateway: a stream that was not opened
+   * tries its next target, and a stream whose later unit was lost breaks.
    *
-   * @param messages what was dropped on the way to a gateway
+   * @param messages the dropped messages
    */
   public void undelivered(List<Object> messages) {
     for (Object message : messages) {
       if (message instanceof OpenStream open) {
         onStream(open.streamId(), RequestExecutor::onUndelivered);
       } else if (message instanceof NextUnit next) {
-        onStream(next.streamId(), each -> each.onBroken("link", "the gateway can't be reached"));
+        onStream(next.streamId(), each -> each.onBroken("link", "the gateway is unreachable"));
       }
     }
   }
@@ -332,7 +334,7 @@
         });
   }
 
-  private void keepStreams() {
+  private void sendKeepAlives() {
     Map<String, List<Long>> byPeer = new TreeMap<>();
     streams.forEach(
         (id, executor) ->
--- a/server/src/main/java/org/streamcourse/request/edge/EdgeSettings.java
+++ b/server/src/main/java/org/streamcourse/request/edge/EdgeSettings.java
@@ -3,12 +3,15 @@
 /**
  * Timing of an edge.
  *
- * @param readBudgetMillis time within which a read must start to run
- * @param writeBudgetMillis time within which a write must start to run
- * @param gatewaySilenceMillis silence of a gateway after which a stream counts as broken
- * @param replacedGraceMillis time that a write may still be answered after its primary was replaced
- * @param keepAliveMillis time between signs of life for open streams
- * @param floorRetryMillis time after which unanswered floor questions are asked again
+ * @param readBudgetMillis time within which a read must start to run at a member
+ * @param writeBudgetMillis time within which a write must start to run at a member
+ * @param gatewaySilenceMillis time without a message from a gateway after which a stream through it
+ *     counts as broken
+ * @param replacedGraceMillis time for which a write still waits for its answer after its primary
+ *     was replaced
+ * @param keepAliveMillis interval of the keep-alive messages for open streams
+ * @param floorRetryMillis time after which unanswered position requests of a floor search are sent
+ *     again
  */
 public record EdgeSettings(
     long readBudgetMillis,
@@ -17,6 +20,6 @@
     long replacedGraceMillis,
     long keepAliveMillis,
     long floorRetryMillis) {
-  /** Values used when the settings file names none. */
+  /** Values that apply where the settings file sets none. */
   public static final EdgeSettings DEFAULT = new EdgeSettings(4_000, 6_000, 3_500, 300, 1_000, 250);
 }
--- a/server/src/main/java/org/streamcourse/request/edge/FloorReader.java
+++ b/server/src/main/java/org/streamcourse/request/edge/FloorReader.java
@@ -15,35 +15,35 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * Finds a floor for a session whose caller brought none: the largest place that a majority of the
- * group had received, asked after the session began. Every write acknowledged before was received
- * by a majority, so one of those asked has it. Sessions that begin while a round waits to start
- * share it.
+ * Determines a floor for a session whose caller supplied none: the highest log position that any
+ * member of a majority of the group has received, requested after the session began. A majority has
+ * received every write that was acknowledged before, so at least one of the members that reply has
+ * it. Sessions that begin before a round of requests is sent share that round.
  *
  * <p>All methods run on the edge's worker.
  */
 final class FloorReader {
-  /** A round under way for one group. */
+  /** One round of position requests to the members of a group. */
   private static final class Round {
     final String group;
-    final List<Consumer<TermPosition>> answers;
+    final List<Consumer<TermPosition>> callbacks;
     final Map<String, TermPosition> received = new HashMap<>();
-    int asks;
+    int attempts;
 
-    Round(String group, List<Consumer<TermPosition>> answers) {
+    Round(String group, List<Consumer<TermPosition>> callbacks) {
       this.group = group;
-      this.answers = answers;
+      this.callbacks = callbacks;
     }
   }
 
   private final Worker worker;
   private final PeerNetwork network;
   private final EdgeNode edge;
-  private final Map<String, List<Consumer<TermPosition>>> starting = new HashMap<>();
+  private final Map<String, List<Consumer<TermPosition>>> notStarted = new HashMap<>();
   private final Map<Long, Round> rounds = new HashMap<>();
 
-  /** Numbers below zero, apart from those of this node's gateways. */
-  private long ids;
+  /** Id of the latest round; negative, since the gateways of this node use positive ids. */
+  private long lastRoundId;
 
   FloorReader(Worker worker, PeerNetwork network, EdgeNode edge) {
     this.worker = worker;
@@ -51,26 +51,26 @@
     this.edge = edge;
   }
 
-  void read(String group, Consumer<TermPosition> answer) {
-    List<Consumer<TermPosition>> sharing = starting.get(group);
-    if (sharing != null) {
-      sharing.add(answer);
+  void read(String group, Consumer<TermPosition> callback) {
+    List<Consumer<TermPosition>> sharedCallbacks = notStarted.get(group);
+    if (sharedCallbacks != null) {
+      sharedCallbacks.add(callback);
       return;
     }
-    List<Consumer<TermPosition>> answers = new ArrayList<>(List.of(answer));
-    starting.put(group, answers);
+    List<Consumer<TermPosition>> callbacks = new ArrayList<>(List.of(callback));
+    notStarted.put(group, callbacks);
     worker.execute(() -> startRound(group));
   }
 
   private void startRound(String group) {
-    ids--;
-    Round round = new Round(group, starting.remove(group));
-    rounds.put(ids, round);
-    ask(ids, group);
+    lastRoundId--;
+    Round round = new Round(group, notStarted.remove(group));
+    rounds.put(lastRoundId, round);
+    requestPositions(lastRoundId, group);
   }
 
-  /** Asks, and asks again through other gateways, until a majority has answered. */
-  private void ask(long id, String groupName) {
+  /** Requests positions, each time through other gateways, until a majority has replied. */
+  private void requestPositions(long id, String groupName) {
     Round round = rounds.get(id);
     GroupImage group = edge.image().groups().get(groupName);
     if (round == null || group == null) {
@@ -80,15 +80,15 @@
     for (MemberImage member : group.members()) {
       List<Allowance> gateways = member.allowances();
       if (!round.received.containsKey(member.name()) && !gateways.isEmpty()) {
-        String gateway = gateways.get(round.asks % gateways.size()).node();
+        String gateway = gateways.get(round.attempts % gateways.size()).node();
         network.send(gateway, new PositionRequest(id, groupName, member.name()));
       }
     }
-    round.asks++;
-    worker.schedule(edge.settings().floorRetryMillis(), () -> ask(id, groupName));
+    round.attempts++;
+    worker.schedule(edge.settings().floorRetryMillis(), () -> requestPositions(id, groupName));
   }
 
-  void replied(PositionReply reply) {
+  void onReply(PositionReply reply) {
     Round round = rounds.get(reply.requestId());
     if (round == null || !reply.known()) {
       return;
@@ -99,7 +99,7 @@
       rounds.remove(reply.requestId());
       TermPosition floor =
           round.received.values().stream().reduce(TermPosition.ZERO, TermPosition::max);
-      round.answers.forEach(answer -> answer.accept(floor));
+      round.callbacks.forEach(callback -> callback.accept(floor));
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/request/edge/FloorToken.java
+++ b/server/src/main/java/org/streamcourse/request/edge/FloorToken.java
@@ -8,8 +8,8 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * The floor of a session in the form that is given to the caller and taken back from it: group,
- * term and position with a signature, so that a damaged or forged one is refused.
+ * Text form of a session's floor, which callers receive and present again later: group, term and
+ * position with a signature, so that a damaged or forged token is refused.
  */
 public final class FloorToken {
   private static final String SEPARATOR = "/";
@@ -18,12 +18,12 @@
   private FloorToken() {}
 
   /**
-   * Writes a token.
+   * Encodes a token.
    *
-   * @param key signs it
+   * @param key signs the token
    * @param group group's name
    * @param floor the floor
-   * @return text of letters, digits, {@code -}, {@code _} and {@code .}
+   * @return token of letters, digits, {@code -}, {@code _} and {@code .}
    */
   public static String write(FleetKey key, String group, TermPosition floor) {
     String content = floor.term() + SEPARATOR + floor.position() + SEPARATOR + group;
@@ -31,13 +31,13 @@
   }
 
   /**
-   * Reads a token.
+   * Verifies and decodes a token.
    *
-   * @param key key that signed it
+   * @param key key that signed the token
    * @param group group that the caller connects to
-   * @param token the text
+   * @param token the token
    * @return floor
-   * @throws StreamcourseException when it is damaged, forged or of another group
+   * @throws StreamcourseException when the token is damaged, forged or belongs to another group
    */
   public static TermPosition read(FleetKey key, String group, String token) {
     int dot = token.indexOf('.');
--- a/server/src/main/java/org/streamcourse/request/edge/LiteralMask.java
+++ b/server/src/main/java/org/streamcourse/request/edge/LiteralMask.java
@@ -4,8 +4,8 @@
  * Replaces the literals of a statement, so that statements which differ only in their values share
  * one classification. The class of a statement never depends on the value of a literal.
  *
- * <p>Texts with anything that makes quoting less than obvious (comments, quoted identifiers,
- * backslashes, dollar quotes, prefixed literals) are returned unchanged.
+ * <p>Texts in which the end of a literal can't be found by a simple scan (those with comments,
+ * quoted identifiers, backslashes, dollar quotes or prefixed literals) are returned unchanged.
  */
 final class LiteralMask {
   private static final String MASKED_TEXT = "'x'";
@@ -14,7 +14,7 @@
 
   private final String sql;
   private final StringBuilder masked;
-  private int at;
+  private int index;
 
   private LiteralMask(String sql) {
     this.sql = sql;
@@ -32,9 +32,9 @@
   }
 
   private String run() {
-    while (at < sql.length()) {
-      char c = sql.charAt(at);
-      if (isUnclear(c)) {
+    while (index < sql.length()) {
+      char c = sql.charAt(index);
+      if (isAmbiguous(c)) {
         return sql;
       }
       if (c == QUOTE) {
@@ -42,56 +42,56 @@
           return sql;
         }
         masked.append(MASKED_TEXT);
-      } else if (isDigit(c) && !isNamePart(before())) {
+      } else if (isDigit(c) && !isNamePart(previousChar())) {
         skipDigits();
         masked.append(MASKED_NUMBER);
       } else {
         masked.append(c);
-        at++;
+        index++;
       }
     }
     return masked.toString();
   }
 
-  private char before() {
-    return at == 0 ? ' ' : sql.charAt(at - 1);
+  private char previousChar() {
+    return index == 0 ? ' ' : sql.charAt(index - 1);
   }
 
-  private char after() {
-    return at + 1 == sql.length() ? ' ' : sql.charAt(at + 1);
+  private char nextChar() {
+    return index + 1 == sql.length() ? ' ' : sql.charAt(index + 1);
   }
 
-  /** Whether a character outside of literals begins something that is not understood here. */
-  private boolean isUnclear(char c) {
+  /** Whether a character outside of literals begins syntax that this scan doesn't handle. */
+  private boolean isAmbiguous(char c) {
     return switch (c) {
       case '"' -> true;
-      case '$' -> !isDigit(after());
-      case '-' -> after() == '-';
-      case '/' -> after() == '*';
-      case QUOTE -> isNamePart(before()) || before() == '&';
+      case '$' -> !isDigit(nextChar());
+      case '-' -> nextChar() == '-';
+      case '/' -> nextChar() == '*';
+      case QUOTE -> isNamePart(previousChar()) || previousChar() == '&';
       default -> false;
     };
   }
 
-  /** Skips a text literal; a doubled quote belongs to it. Returns false when it has no end. */
+  /** Skips a text literal with its doubled quotes; returns false when the literal has no end. */
   private boolean skipText() {
-    at++;
-    while (at < sql.length()) {
-      boolean quote = sql.charAt(at) == QUOTE;
-      at++;
-      if (quote && (at == sql.length() || sql.charAt(at) != QUOTE)) {
+    index++;
+    while (index < sql.length()) {
+      boolean quote = sql.charAt(index) == QUOTE;
+      index++;
+      if (quote && (index == sql.length() || sql.charAt(index) != QUOTE)) {
         return true;
       }
       if (quote) {
-        at++;
+        index++;
       }
     }
     return false;
   }
 
   private void skipDigits() {
-    while (at < sql.length() && isDigit(sql.charAt(at))) {
-      at++;
+    while (index < sql.length() && isDigit(sql.charAt(index))) {
+      index++;
     }
   }
 
--- a/server/src/main/java/org/streamcourse/request/edge/MemberScores.java
+++ b/server/src/main/java/org/streamcourse/request/edge/MemberScores.java
@@ -7,18 +7,27 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * What this edge has observed of members while serving: how fast they answer, how far they had
- * applied the log, whether they failed lately. Safe from any thread.
+ * Observations of members from the requests that this edge has sent them: their latency, the log
+ * position that they had applied, and recent failures. Safe from any thread.
  */
 final class MemberScores {
   private static final double SMOOTHING = 0.2;
-  private static final double[] FIRST_GUESS_MILLIS = {1, 4, 40};
-  private static final double SHUNNED_MILLIS = 1_000_000;
-  private static final long SHUN_MILLIS = 500;
-  private static final double BEHIND_MILLIS = 1_000;
+
+  /** Assumed latency before the first answer, by distance: same zone, same region, other region. */
+  private static final double[] INITIAL_LATENCY_MILLIS = {1, 4, 40};
+
+  /** Added to the cost of a member that failed, so that it sorts after the others. */
+  private static final double FAILURE_COST_MILLIS = 1_000_000;
+
+  /** Time for which a failure, or an applied position below a floor, raises the cost. */
+  private static final long PENALTY_MILLIS = 500;
+
+  /** Added to the cost of a member that had not applied the floor. */
+  private static final double BEHIND_COST_MILLIS = 1_000;
 
   /** Observations of one member; immutable, replaced as a whole. */
-  private record Score(double latencyMillis, long shunnedUntil, TermPosition applied, long at) {}
+  private record Score(
+      double latencyMillis, long avoidedUntil, TermPosition applied, long observedAt) {}
 
   private final Map<String, Score> scores = new ConcurrentHashMap<>();
   private final Placement self;
@@ -33,19 +42,19 @@
 
   private Score initial(MemberImage member) {
     return new Score(
-        FIRST_GUESS_MILLIS[self.distanceTo(member.placement())], 0, TermPosition.ZERO, 0);
+        INITIAL_LATENCY_MILLIS[self.distanceTo(member.placement())], 0, TermPosition.ZERO, 0);
   }
 
-  /** Expected cost of a read with a floor; members that are likely to refuse come later. */
+  /** Expected cost in milliseconds of a read with a floor; higher for members likely to refuse. */
   double cost(String group, MemberImage member, TermPosition floor, long now) {
     Score score = scores.getOrDefault(key(group, member.name()), initial(member));
     double cost = score.latencyMillis();
-    if (now < score.shunnedUntil()) {
-      cost += SHUNNED_MILLIS;
+    if (now < score.avoidedUntil()) {
+      cost += FAILURE_COST_MILLIS;
     }
-    boolean behind = score.at() > 0 && !score.applied().reaches(floor);
-    boolean recent = now - score.at() < SHUN_MILLIS;
-    return behind && recent ? cost + BEHIND_MILLIS : cost;
+    boolean behind = score.observedAt() > 0 && !score.applied().reaches(floor);
+    boolean recent = now - score.observedAt() < PENALTY_MILLIS;
+    return behind && recent ? cost + BEHIND_COST_MILLIS : cost;
   }
 
   void answered(
@@ -66,7 +75,7 @@
         (key, old) -> {
           Score score = old == null ? initial(member) : old;
           return new Score(
-              score.latencyMillis(), score.shunnedUntil(), applied.max(score.applied()), now);
+              score.latencyMillis(), score.avoidedUntil(), applied.max(score.applied()), now);
         });
   }
 
@@ -75,7 +84,8 @@
         key(group, member.name()),
         (key, old) -> {
           Score score = old == null ? initial(member) : old;
-          return new Score(score.latencyMillis(), now + SHUN_MILLIS, score.applied(), score.at());
+          return new Score(
+              score.latencyMillis(), now + PENALTY_MILLIS, score.applied(), score.observedAt());
         });
   }
 }
--- a/server/src/main/java/org/streamcourse/request/edge/ReadRouter.java
+++ b/server/src/main/java/org/streamcourse/request/edge/ReadRouter.java
@@ -10,22 +10,22 @@
 import org.streamcourse.version.image.MemberImage;
 import org.streamcourse.version.image.TermPosition;
 
-/** Orders the members, and for each its gateways, that an edge tries for one request. */
+/** Orders the members, and the gateways of each, that an edge tries for one request. */
 public final class ReadRouter {
-  /** How reads are spread; the policies but the first are baselines for measurements. */
+  /** How reads are distributed; the policies after the first serve as baselines of benchmarks. */
   public enum Policy {
-    /** Cheapest replica that is expected to be fresh enough, the primary last. */
+    /** Replicas by expected cost, which includes distance and lag; the primary last. */
     NEAREST_FRESH,
     /** All reads go to the primary. */
     PRIMARY_ONLY,
-    /** Replicas and primary in turn, whatever their distance or lag. */
+    /** Replicas and primary in rotation, regardless of distance or lag. */
     ROUND_ROBIN
   }
 
   private final Policy policy;
   private final MemberScores scores;
   private final RandomGenerator random;
-  private int turn;
+  private int rotation;
 
   ReadRouter(Policy policy, MemberScores scores, RandomGenerator random) {
     this.policy = policy;
@@ -33,7 +33,7 @@
     this.random = random;
   }
 
-  /** Targets in the order of trying; empty when no member can be named now. */
+  /** Targets in the order in which they are tried; empty when no member is eligible. */
   synchronized List<RouteTarget> targets(
       GroupImage group, Purpose purpose, TermPosition floor, long now) {
     List<RouteTarget> targets = new ArrayList<>();
@@ -42,17 +42,17 @@
       return targets;
     }
     List<MemberImage> members =
-        policy == Policy.ROUND_ROBIN ? inTurn(group) : byCost(group, floor, now);
+        policy == Policy.ROUND_ROBIN ? rotated(group) : byCost(group, floor, now);
     for (MemberImage member : members) {
       addGateways(member, targets);
     }
     return targets;
   }
 
-  private List<MemberImage> inTurn(GroupImage group) {
+  private List<MemberImage> rotated(GroupImage group) {
     List<MemberImage> members = new ArrayList<>(group.members());
-    turn++;
-    java.util.Collections.rotate(members, turn % members.size());
+    rotation++;
+    java.util.Collections.rotate(members, rotation % members.size());
     return members;
   }
 
@@ -71,7 +71,7 @@
     return replicas;
   }
 
-  /** Adds a member's gateways, the first chosen by chance in proportion to their slots. */
+  /** Adds a member's gateways; the first is drawn at random, weighted by slots. */
   private void addGateways(MemberImage member, List<RouteTarget> targets) {
     List<Allowance> usable =
         new ArrayList<>(
--- a/server/src/main/java/org/streamcourse/request/edge/Request.java
+++ b/server/src/main/java/org/streamcourse/request/edge/Request.java
@@ -6,15 +6,15 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * A caller's request that starts a stream.
+ * A caller's request that opens a stream.
  *
  * @param group group's name
  * @param user caller's user name
  * @param purpose read or write
- * @param floor place that a read must see
- * @param maxStalenessMillis the session's limit; the group's rule may be stricter
+ * @param floor lowest log position that a read must observe
+ * @param maxStalenessMillis the session's staleness limit; the group's rule may be stricter
  * @param settings statements that set the session's parameters
- * @param unit what to run
+ * @param unit unit of work to run
  */
 public record Request(
     String group,
--- a/server/src/main/java/org/streamcourse/request/edge/RequestExecutor.java
+++ b/server/src/main/java/org/streamcourse/request/edge/RequestExecutor.java
@@ -25,13 +25,13 @@
 /**
  * Runs one session's requests, one at a time, on streams to gateways.
  *
- * <p>Attempts after a break or after a refusal for want of capacity count against the edge's {@link
- * RetryBudget}; those after other refusals are routing, since nobody did any work for them.
+ * <p>Attempts after a break or after a refusal for lack of capacity count against the edge's {@link
+ * RetryBudget}; those after other refusals do not, since no member has done any work for them.
  *
- * <p>Each attempt has a stream number of its own, so late answers of an earlier attempt are told
- * apart and dropped. A write is sent again only after a refusal, which says that it did not run; a
- * read also after a break, as long as nothing of its answer has reached the caller. Every other
- * break of a write ends as {@link ErrorCode#OUTCOME_UNKNOWN}.
+ * <p>Each attempt has its own stream id, so that late answers to an earlier attempt are recognized
+ * and dropped. A write is sent again only after a refusal, which guarantees that it did not run; a
+ * read is also sent again after a break, as long as no part of its answer has reached the caller.
+ * Any other break of a write ends as {@link ErrorCode#OUTCOME_UNKNOWN}.
  *
  * <p>All methods run on the session's worker.
  */
@@ -51,21 +51,21 @@
   private long streamId;
   private boolean active;
   private boolean pinned;
-  private boolean outputSeen;
+  private boolean outputReceived;
   private final AnswerParts parts = new AnswerParts();
 
-  /** When to come back, as told by an overloaded gateway; 0 while none was. */
+  /** Retry delay that an overloaded gateway returned; 0 while no gateway was overloaded. */
   private long overloadRetryMillis;
 
-  /** Group as it was when the targets were chosen. */
-  private GroupImage seenGroup;
+  /** Image of the group from which the targets were chosen. */
+  private GroupImage routedGroup;
 
   private int breaks;
 
   /** Pause before the next attempt; doubles until the group's image changes. */
   private long pauseMillis;
 
-  /** Ticket among the waiting requests, or 0 while none waits. */
+  /** Ticket in {@link WaitingRequests}, or 0 while the request doesn't wait. */
   private long ticket;
 
   private Disposable pauseTimer = () -> {};
@@ -73,18 +73,18 @@
   private long attemptStartedAt;
   private long openedInTerm;
 
-  /** When the edge first saw that the primary of the present attempt was replaced. */
+  /** When the edge first observed that the primary of the current attempt was replaced. */
   private long replacedAt = NOT_REPLACED;
 
   private final RequestTrace trace = new RequestTrace();
-  private volatile long lastHeardMillis;
+  private volatile long lastReceivedMillis;
 
   /**
    * Creates an executor.
    *
    * @param edge this node's edge
    * @param worker the session's worker
-   * @param listener hears the answers
+   * @param listener receives the answers
    */
   public RequestExecutor(EdgeNode edge, Worker worker, RequestListener listener) {
     this.edge = edge;
@@ -101,7 +101,7 @@
     request = next;
     active = true;
     pinned = false;
-    outputSeen = false;
+    outputReceived = false;
     overloadRetryMillis = 0;
     breaks = 0;
     pauseMillis = FIRST_PAUSE_MILLIS;
@@ -115,7 +115,7 @@
   /**
    * Runs a further unit on the open stream.
    *
-   * @param unit what to run
+   * @param unit unit of work to run
    */
   public void next(Unit unit) {
     active = true;
@@ -125,7 +125,7 @@
   }
 
   /**
-   * Allows more of the answer to come.
+   * Allows the gateway to send more of the answer.
    *
    * @param bytes bytes that the caller has taken
    */
@@ -135,14 +135,14 @@
     }
   }
 
-  /** Asks the member to cancel what runs. */
+  /** Requests that the member cancel the running unit. */
   public void cancel() {
     if (active && current != null) {
       edge.network().send(current.gateway(), new CancelUnit(streamId));
     }
   }
 
-  /** Gives up whatever is open, since the caller is gone. */
+  /** Abandons the open stream; called when the caller has disconnected. */
   public void close() {
     if (current != null && (active || pinned)) {
       edge.network().send(current.gateway(), new CloseStream(streamId));
@@ -151,7 +151,7 @@
   }
 
   /**
-   * Tells whether a transaction holds a stream.
+   * Returns whether a transaction keeps the stream open.
    *
    * @return true between the units of a transaction, and during them
    */
@@ -170,11 +170,11 @@
 
   private void chooseTargets() {
     nextTarget = 0;
-    seenGroup = edge.image().groups().get(request.group());
+    routedGroup = edge.image().groups().get(request.group());
     targets =
-        seenGroup == null
+        routedGroup == null
             ? List.of()
-            : edge.router().targets(seenGroup, request.purpose(), request.floor(), now());
+            : edge.router().targets(routedGroup, request.purpose(), request.floor(), now());
   }
 
   private long now() {
@@ -184,11 +184,11 @@
   private void attempt() {
     Optional<GroupImage> group = edge.image().group(request.group());
     if (group.isEmpty()) {
-      fail(ErrorCode.UNKNOWN_DATABASE, "route", "", "database does not exist any more", 0);
+      fail(ErrorCode.UNKNOWN_DATABASE, "route", "", "the database no longer exists", 0);
       return;
     }
     if (!edge.isServing()) {
-      noteWithoutTarget("the controllers do not confirm this node");
+      recordWithoutTarget("this node is not confirmed by the controllers");
       pauseThenRetry();
       return;
     }
@@ -199,9 +199,9 @@
     current = targets.get(nextTarget);
     nextTarget++;
     streamId = edge.openStream(this);
-    parts.begin();
+    parts.reset();
     attemptStartedAt = now();
-    lastHeardMillis = attemptStartedAt;
+    lastReceivedMillis = attemptStartedAt;
     openedInTerm = group.get().term();
     replacedAt = NOT_REPLACED;
     long staleness =
@@ -224,19 +224,19 @@
 
   private void targetsExhausted() {
     if (overloadRetryMillis > 0) {
-      String detail = "no capacity for the request now";
+      String detail = "no gateway has capacity for the request now";
       fail(ErrorCode.OVERLOADED, "admit", "", detail, overloadRetryMillis);
       return;
     }
     if (targets.isEmpty()) {
-      noteWithoutTarget("no member is known that may take it");
+      recordWithoutTarget("no member that may run the request is known");
     }
     pauseThenRetry();
   }
 
-  private void noteWithoutTarget(String why) {
+  private void recordWithoutTarget(String why) {
     long now = now();
-    long term = seenGroup == null ? 0 : seenGroup.term();
+    long term = routedGroup == null ? 0 : routedGroup.term();
     trace.add(
         new RequestTrace.Attempt(
             "",
@@ -251,7 +251,7 @@
             now));
   }
 
-  private void noteAttempt(String step, String outcome, TermPosition applied) {
+  private void recordAttempt(String step, String outcome, TermPosition applied) {
     trace.add(
         new RequestTrace.Attempt(
             current.member().name(),
@@ -267,15 +267,15 @@
   }
 
   /**
-   * Returns what was tried for the present request.
+   * Returns the trace of the current request.
    *
-   * @return attempts that led to no answer
+   * @return attempts that ended without an answer
    */
   public RequestTrace trace() {
     return trace;
   }
 
-  /** Tries again after a pause, or as soon as the group's image has changed. */
+  /** Makes the next attempt after a pause, or as soon as the group's image changes. */
   private void pauseThenRetry() {
     if (now() + pauseMillis >= deadline) {
       fail(
@@ -287,8 +287,8 @@
       return;
     }
     ticket = edge.waiting().add(request.group(), () -> worker.execute(this::imageChanged));
-    if (edge.image().groups().get(request.group()) != seenGroup) {
-      // Whoever refused may have seen the newer image first; it names other targets.
+    if (edge.image().groups().get(request.group()) != routedGroup) {
+      // The gateway that refused may have received the newer image first; it has other targets.
       imageChanged();
       return;
     }
@@ -326,16 +326,16 @@
 
   // ---- answers ----
 
-  /** Takes in a message of a gateway; the node hands over only those of the present stream. */
+  /** Handles a message from a gateway; {@link EdgeNode} passes on those of the current stream. */
   void receive(StreamMessage message) {
     if (!active && !pinned) {
       return;
     }
-    lastHeardMillis = now();
-    if (parts.missOneBefore(message)) {
-      onBroken("link", "a part of the answer is missing");
+    lastReceivedMillis = now();
+    if (parts.isGapBefore(message)) {
+      onBroken("link", "a part of the answer was lost");
     } else if (message instanceof Output output) {
-      outputSeen = true;
+      outputReceived = true;
       listener.output(output.messages());
     } else if (message instanceof UnitDone done) {
       onDone(done);
@@ -364,7 +364,7 @@
   private void onRefused(Refused refused) {
     edge.closeStream(streamId);
     pinned = false;
-    noteAttempt("admit", refused.refusal().name(), refused.applied());
+    recordAttempt("admit", refused.refusal().name(), refused.applied());
     switch (refused.refusal()) {
       case OVERLOADED -> {
         overloadRetryMillis = Math.max(1, refused.retryAfterMillis());
@@ -382,7 +382,7 @@
         skipMember();
       }
       default -> {
-        // Another gateway or, after a new image, another primary may take it.
+        // Another gateway or, after a new image, another primary may accept the request.
       }
     }
     boolean mustWait = refused.refusal() == Refusal.NOT_PRIMARY;
@@ -393,7 +393,7 @@
     }
   }
 
-  /** Leaves out the other gateways of the member that was just tried. */
+  /** Skips the other gateways of the member that was just tried. */
   private void skipMember() {
     while (nextTarget < targets.size()
         && targets.get(nextTarget).member().name().equals(current.member().name())) {
@@ -401,19 +401,19 @@
     }
   }
 
-  /** The stream broke after its unit may have begun. */
+  /** Handles a break of the stream after its unit may have begun to run. */
   void onBroken(String step, String detail) {
     if (!active && !pinned) {
       return;
     }
-    noteAttempt(step, detail, TermPosition.ZERO);
+    recordAttempt(step, detail, TermPosition.ZERO);
     edge.network().send(current.gateway(), new CloseStream(streamId));
     edge.closeStream(streamId);
     boolean wasPinned = pinned;
     pinned = false;
-    boolean repeatable = request.purpose() == Purpose.READ && !outputSeen && !wasPinned;
+    boolean repeatable = request.purpose() == Purpose.READ && !outputReceived && !wasPinned;
     if (!active) {
-      // Between units of a transaction: the caller learns of it with its next request.
+      // Between units of a transaction: the caller receives the error with its next request.
       fail(ErrorCode.READ_INTERRUPTED, step, current.gateway(), "transaction lost: " + detail, 0);
       return;
     }
@@ -430,13 +430,13 @@
     fail(code, step, current.member().name(), detail, 0);
   }
 
-  /** Nothing of the present attempt was delivered. */
+  /** Handles that the current attempt was not delivered to its gateway. */
   void onUndelivered() {
     if (!active || pinned) {
-      onBroken("link", "the gateway can't be reached");
+      onBroken("link", "the gateway is unreachable");
       return;
     }
-    noteAttempt("link", "not delivered to the gateway", TermPosition.ZERO);
+    recordAttempt("link", "the request was not delivered to the gateway", TermPosition.ZERO);
     edge.closeStream(streamId);
     edge.scores().failed(request.group(), current.member(), now());
     attempt();
@@ -444,27 +444,27 @@
 
   // ---- supervision ----
 
-  /** Breaks the stream when its gateway is silent or its primary was replaced. */
+  /** Breaks the stream when its gateway is unresponsive or its primary was replaced. */
   void check(GroupImage group) {
     if (!active && !pinned) {
       return;
     }
-    long silence = now() - lastHeardMillis;
+    long silence = now() - lastReceivedMillis;
     boolean replaced = request.purpose() == Purpose.WRITE && group.term() > openedInTerm;
     if (replaced && replacedAt == NOT_REPLACED) {
       replacedAt = now();
     }
-    // The gateway sees the same image at about the same time; its refusal may be on the way.
-    long sinceReplaced = replaced ? now() - Math.max(replacedAt, lastHeardMillis) : 0;
+    // The gateway receives the same image at about the same time, so its refusal may be in flight.
+    long sinceReplaced = replaced ? now() - Math.max(replacedAt, lastReceivedMillis) : 0;
     if (silence > edge.settings().gatewaySilenceMillis()) {
-      onBroken("gateway", "no sign of life for " + silence + " ms");
+      onBroken("gateway", "no message from the gateway for " + silence + " ms");
     } else if (sinceReplaced > edge.settings().replacedGraceMillis()) {
       onBroken("primary-change", "primary of term " + openedInTerm + " was replaced");
     }
   }
 
-  void kept() {
-    lastHeardMillis = now();
+  void onKeepAlive() {
+    lastReceivedMillis = now();
   }
 
   String gateway() {
--- a/server/src/main/java/org/streamcourse/request/edge/RequestTrace.java
+++ b/server/src/main/java/org/streamcourse/request/edge/RequestTrace.java
@@ -6,27 +6,27 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * What was tried for the present request of a session, so that a failure can be told with all that
- * led to it. Only the last attempts are kept; nothing is formatted unless the request fails.
+ * Attempts of a session's current request, so that a failure can be logged with the attempts that
+ * led to it. Only the latest attempts are kept; they are formatted only if the request fails.
  *
  * <p>All methods run on the session's worker.
  */
 public final class RequestTrace {
-  /** Attempts that are kept; bounds the lines that one failed request writes. */
-  private static final int KEPT = 12;
+  /** Number of attempts kept; bounds the log lines of one failed request. */
+  private static final int MAX_ATTEMPTS = 12;
 
   /**
    * An attempt that did not lead to an answer.
    *
-   * @param member member that was to run the request, empty when none was chosen
-   * @param gateway node that was asked, empty when none was
-   * @param step step at which it ended
-   * @param outcome refusal, or what broke
-   * @param floor place that the request had to see
-   * @param applied place that the member had applied, zero when it did not tell
-   * @param term term of the group in the image that the attempt rested on
-   * @param imageVersion version of that image
-   * @param startedMillis begin, on the worker's clock
+   * @param member member chosen to run the request, empty when none was chosen
+   * @param gateway node to which the request was sent, empty when it was not sent
+   * @param step step at which the attempt ended
+   * @param outcome refusal, or cause of the break
+   * @param floor lowest log position that the request had to observe
+   * @param applied log position that the member had applied, zero when it is not known
+   * @param term term of the group in the image that the attempt used
+   * @param imageVersion version of the image in force when the attempt ended
+   * @param startedMillis start, on the worker's clock
    * @param endedMillis end, on the worker's clock
    */
   public record Attempt(
@@ -45,7 +45,7 @@
   private int omitted;
   private long startedMillis;
 
-  /** Forgets what was tried, since a request starts. */
+  /** Discards the attempts of the previous request; called when a request starts. */
   void begin(long nowMillis) {
     attempts.clear();
     omitted = 0;
@@ -53,7 +53,7 @@
   }
 
   void add(Attempt attempt) {
-    if (attempts.size() == KEPT) {
+    if (attempts.size() == MAX_ATTEMPTS) {
       attempts.removeFirst();
       omitted++;
     }
@@ -61,7 +61,7 @@
   }
 
   /**
-   * Returns what was tried last.
+   * Returns the attempts that are kept.
    *
    * @return attempts, oldest first
    */
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Returns the number of earlier attempts that were not kept.
+   * Returns the number of earlier attempts that are no longer kept.
    *
    * @return count
    */
--- a/server/src/main/java/org/streamcourse/request/edge/RetryBudget.java
+++ b/server/src/main/java/org/streamcourse/request/edge/RetryBudget.java
@@ -3,33 +3,36 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bounds the share of an edge's attempts that repeat an earlier one, so that members in trouble are
- * not given a multiple of the load on top. Each request earns a part of a retry; a reserve covers a
- * short burst, such as a gateway that dies. Safe from any thread.
+ * Limits the share of retries among an edge's attempts, so that retries don't multiply the load on
+ * failing or overloaded members. Each request earns a fraction of a retry; a reserve covers a short
+ * burst, such as the failure of a gateway. Safe from any thread.
  */
 public final class RetryBudget {
-  /** Parts of a retry; ten requests earn one. */
-  private static final long RETRY_PARTS = 10;
+  /** Fractions that make one retry: ten requests earn one retry. */
+  private static final long PARTS_PER_RETRY = 10;
 
   private static final long RESERVED_RETRIES = 100;
-  private static final long MOST_PARTS = RESERVED_RETRIES * RETRY_PARTS;
+  private static final long MAX_PARTS = RESERVED_RETRIES * PARTS_PER_RETRY;
 
-  private final AtomicLong parts = new AtomicLong(MOST_PARTS);
+  private final AtomicLong parts = new AtomicLong(MAX_PARTS);
   private final AtomicLong denied = new AtomicLong();
 
-  /** Earns a part of a retry. */
+  /** Adds the fraction of a retry that a request earns. */
   void requestStarted() {
-    parts.updateAndGet(has -> Math.min(MOST_PARTS, has + 1));
+    parts.updateAndGet(balance -> Math.min(MAX_PARTS, balance + 1));
   }
 
   /**
-   * Takes a retry.
+   * Takes one retry from the budget.
    *
-   * @return false when the budget is spent; the request must end with what it has
+   * @return false when the budget is spent; the request then ends with the outcome of its last
+   *     attempt
    */
   boolean tryRetry() {
-    long before = parts.getAndUpdate(has -> has >= RETRY_PARTS ? has - RETRY_PARTS : has);
-    if (before < RETRY_PARTS) {
+    long before =
+        parts.getAndUpdate(
+            balance -> balance >= PARTS_PER_RETRY ? balance - PARTS_PER_RETRY : balance);
+    if (before < PARTS_PER_RETRY) {
       denied.incrementAndGet();
       return false;
     }
@@ -37,7 +40,7 @@
   }
 
   /**
-   * Returns the number of retries that were not allowed.
+   * Returns the number of retries that the budget denied.
    *
    * @return count since the start
    */
--- a/server/src/main/java/org/streamcourse/request/edge/RouteTarget.java
+++ b/server/src/main/java/org/streamcourse/request/edge/RouteTarget.java
@@ -3,9 +3,9 @@
 import org.streamcourse.version.image.MemberImage;
 
 /**
- * Where an attempt goes.
+ * Destination of one attempt.
  *
- * @param member the member
- * @param gateway node through which it is reached
+ * @param member member that is to run the request
+ * @param gateway node through which the member is reached
  */
 record RouteTarget(MemberImage member, String gateway) {}
--- a/server/src/main/java/org/streamcourse/request/edge/StatementClass.java
+++ b/server/src/main/java/org/streamcourse/request/edge/StatementClass.java
@@ -1,30 +1,33 @@
 package org.streamcourse.request.edge;
 
 /**
- * What a statement may do, as far as routing needs to know.
+ * Properties of a statement that routing depends on.
  *
- * @param kind its kind
- * @param changesSession whether it may leave state behind in the member's session
- * @param endsTransaction whether it may end a transaction
+ * @param kind kind of the statement
+ * @param changesSession whether the statement may leave state behind in the member's session
+ * @param endsTransaction whether the statement may end a transaction
  */
 public record StatementClass(Kind kind, boolean changesSession, boolean endsTransaction) {
-  /** Kinds of statements, in the order in which one outweighs another within a request. */
+  /**
+   * Kinds of statements. Within a request, {@link #EMPTY} yields to any other kind and {@link
+   * #READ} to {@link #BEGIN_READ_ONLY}; any other combination counts as {@link #WRITE}.
+   */
   public enum Kind {
-    /** Nothing at all. */
+    /** Contains no statement. */
     EMPTY,
-    /** Only reads; gives the same answer on any member that is fresh enough. */
+    /** Only reads; returns the same result on any member that is fresh enough. */
     READ,
-    /** Starts a transaction that only reads. */
+    /** Starts a read-only transaction. */
     BEGIN_READ_ONLY,
-    /** May write or depends on the primary. */
+    /** May write, or must run on the primary. */
     WRITE,
     /** Starts a transaction. */
     BEGIN,
     /** Ends a transaction. */
     END,
-    /** Sets a parameter of the session. */
+    /** Sets a session parameter. */
     SET,
-    /** Shows a parameter of the proxy's own. */
+    /** Shows a parameter that the proxy itself defines. */
     SHOW_OWN
   }
 
@@ -34,6 +37,6 @@
   /** A write that leaves nothing behind in the session. */
   public static final StatementClass WRITE = new StatementClass(Kind.WRITE, false, false);
 
-  /** Anything that is not understood. */
+  /** A statement that can't be classified. */
   public static final StatementClass UNKNOWN = new StatementClass(Kind.WRITE, true, true);
 }
--- a/server/src/main/java/org/streamcourse/request/edge/StatementClassifier.java
+++ b/server/src/main/java/org/streamcourse/request/edge/StatementClassifier.java
@@ -18,24 +18,24 @@
 import org.streamcourse.request.edge.StatementClass.Kind;
 
 /**
- * Classifies statements with a SQL parser; results are cached by the text without its literals.
- * Whatever is not certainly a plain read counts as a write: an unknown function, a locking clause,
- * a text that the parser does not take.
+ * Classifies statements with a SQL parser; results are cached by the text without its literals. A
+ * statement that isn't provably a plain read counts as a write, for example one with an unknown
+ * function or a locking clause, or a text that the parser rejects.
  */
 public final class StatementClassifier {
   private static final int CACHED_TEXTS = 20_000;
   private static final int MAX_PARSED_CHARACTERS = 100_000;
-  private static final String OWN_PREFIX = "STREAMCOURSE.";
+  private static final String PROXY_PARAMETER_PREFIX = "STREAMCOURSE.";
   private static final Pattern CALL = Pattern.compile("\"?([A-Za-z_][\\w$.]*)\"?\\s*\\(");
-  private static final Pattern EFFECT =
+  private static final Pattern WRITE_KEYWORDS =
       Pattern.compile(
           "\\b(INSERT|UPDATE|DELETE|MERGE|INTO|FOR\\s+(UPDATE|SHARE|NO\\s+KEY|KEY))\\b",
           Pattern.CASE_INSENSITIVE);
   private static final Pattern READ_ONLY =
       Pattern.compile("\\bREAD\\s+ONLY\\b", Pattern.CASE_INSENSITIVE);
 
-  /** Functions, and keywords before a parenthesis, that neither write nor depend on the session. */
-  private static final Set<String> HARMLESS_CALLS =
+  /** Functions, and keywords before a parenthesis, that neither write nor use session state. */
+  private static final Set<String> SAFE_CALLS =
       Set.of(
           ("abs all and any array array_agg as avg between bool_and bool_or btrim by case cast ceil"
                   + " ceiling char_length chr coalesce concat concat_ws count date_part date_trunc"
@@ -57,8 +57,8 @@
   /**
    * Classifies a text of one or more statements.
    *
-   * @param sql the text
-   * @return class of the whole
+   * @param sql one or more statements
+   * @return class of the whole text
    */
   public StatementClass classify(String sql) {
     return cache.get(LiteralMask.mask(sql), StatementClassifier::classifyText);
@@ -96,7 +96,7 @@
               ? StatementClass.WRITE
               : new StatementClass(Kind.SET, false, false);
       case "SHOW" ->
-          second.startsWith(OWN_PREFIX)
+          second.startsWith(PROXY_PARAMETER_PREFIX)
               ? new StatementClass(Kind.SHOW_OWN, false, false)
               : StatementClass.READ;
       case "CREATE", "DROP", "ALTER", "TRUNCATE" ->
@@ -119,37 +119,37 @@
       Statements statements = parser.Statements();
       return statements.stream()
           .map(StatementClassifier::classifyParsed)
-          .reduce(StatementClassifier::outweigh)
+          .reduce(StatementClassifier::merge)
           .orElse(StatementClass.UNKNOWN);
     } catch (Exception | StackOverflowError e) {
-      // The parser does not cover every dialect; the primary decides what the text means.
+      // The parser doesn't cover every dialect, so the primary runs the text.
       return StatementClass.UNKNOWN;
     }
   }
 
   private static StatementClass classifyParsed(Statement statement) {
     if (statement instanceof Select) {
-      return isPlainRead(statement.toString()) ? StatementClass.READ : withCalls(statement);
+      return isPlainRead(statement.toString()) ? StatementClass.READ : writeClass(statement);
     }
     boolean plainWrite =
         statement instanceof Insert || statement instanceof Update || statement instanceof Delete;
-    return plainWrite ? withCalls(statement) : StatementClass.UNKNOWN;
+    return plainWrite ? writeClass(statement) : StatementClass.UNKNOWN;
   }
 
-  /** Functions such as advisory locks or set_config leave state in the session. */
-  private static StatementClass withCalls(Statement statement) {
+  /** Class of a write; advisory locks and set_config leave state in the member's session. */
+  private static StatementClass writeClass(Statement statement) {
     String text = statement.toString().toLowerCase(Locale.ROOT);
     boolean sessionState = text.contains("advisory") || text.contains("set_config");
     return new StatementClass(Kind.WRITE, sessionState, false);
   }
 
   private static boolean isPlainRead(String deparsed) {
-    if (EFFECT.matcher(deparsed).find()) {
+    if (WRITE_KEYWORDS.matcher(deparsed).find()) {
       return false;
     }
     Matcher calls = CALL.matcher(deparsed);
     while (calls.find()) {
-      if (!HARMLESS_CALLS.contains(calls.group(1).toLowerCase(Locale.ROOT))) {
+      if (!SAFE_CALLS.contains(calls.group(1).toLowerCase(Locale.ROOT))) {
         return false;
       }
     }
@@ -159,16 +159,16 @@
   /**
    * Classifies several statements that run as one request.
    *
-   * @param classes their classes in order
-   * @return class of the whole
+   * @param classes classes of the statements, in order
+   * @return class of the whole request
    */
   public static StatementClass combine(List<StatementClass> classes) {
     return classes.stream()
-        .reduce(StatementClassifier::outweigh)
+        .reduce(StatementClassifier::merge)
         .orElse(new StatementClass(Kind.EMPTY, false, false));
   }
 
-  private static StatementClass outweigh(StatementClass a, StatementClass b) {
+  private static StatementClass merge(StatementClass a, StatementClass b) {
     boolean changesSession = a.changesSession() || b.changesSession();
     boolean ends = a.endsTransaction() || b.endsTransaction();
     if (a.kind() == Kind.EMPTY || b.kind() == Kind.EMPTY) {
--- a/server/src/main/java/org/streamcourse/request/edge/WaitingRequests.java
+++ b/server/src/main/java/org/streamcourse/request/edge/WaitingRequests.java
@@ -7,12 +7,15 @@
 import org.streamcourse.version.image.ClusterImage;
 
 /**
- * Requests that pause since no member takes them now. A change of their group's image wakes them at
- * once, so the pauses themselves may grow: without that, thousands of sessions of one group would
- * ask its gateways again and again while it changes its primary. Safe from any thread.
+ * Requests that pause because no member accepts them at present. A change of their group's image
+ * wakes them at once, so the pauses between attempts can grow: with short fixed pauses, thousands
+ * of sessions of one group would send attempts to its gateways repeatedly while the group changes
+ * its primary. Safe from any thread.
  */
 final class WaitingRequests {
-  /** By group, in the order in which they began to wait. */
+  /**
+   * Wake-up tasks by group, and within a group in the order in which the requests began to wait.
+   */
   private final Map<String, Map<Long, Runnable>> byGroup = new ConcurrentHashMap<>();
 
   private final AtomicLong tickets = new AtomicLong();
@@ -21,8 +24,8 @@
   /**
    * Adds a request.
    *
-   * @param group its group
-   * @param wake runs at each change of the group, on the thread that brings the image
+   * @param group group of the request
+   * @param wake runs at each change of the group, on the thread that delivers the image
    * @return ticket for {@link #remove}
    */
   long add(String group, Runnable wake) {
@@ -35,7 +38,7 @@
     byGroup.getOrDefault(group, Map.of()).remove(ticket);
   }
 
-  /** Takes in an image; images come one after the other. */
+  /** Wakes the requests of the groups that changed; called for one image at a time. */
   void imageChanged(ClusterImage next) {
     ClusterImage previous = image;
     image = next;
--- a/server/src/main/java/org/streamcourse/request/edge/package-info.java
+++ b/server/src/main/java/org/streamcourse/request/edge/package-info.java
@@ -1,2 +1,2 @@
-/** An edge's part of a request: classification, choice of member, retries, floors. */
+/** The edge's side of a request: classification, choice of member, retries, floors. */
 package org.streamcourse.request.edge;
--- a/server/src/test/java/org/streamcourse/request/edge/FloorTokenTest.java
+++ b/server/src/test/java/org/streamcourse/request/edge/FloorTokenTest.java
@@ -8,13 +8,13 @@
 import org.streamcourse.version.image.TermPosition;
 import org.testng.annotations.Test;
 
-/** Floor tokens are taken back only as they were given out. */
+/** Floor tokens are accepted only unchanged, with the fleet's key and for their own group. */
 public class FloorTokenTest {
   private static final FleetKey KEY = new FleetKey("fleet");
   private static final TermPosition FLOOR = new TermPosition(3, 4711);
 
   @Test
-  public void returnsWhatWasWritten() {
+  public void decodesAnUnchangedToken() {
     String token = FloorToken.write(KEY, "bookings", FLOOR);
     assertEquals(FloorToken.read(KEY, "bookings", token), FLOOR);
   }
@@ -22,7 +22,8 @@
   @Test
   public void refusesEveryDamagedCharacter() {
     String token = FloorToken.write(KEY, "bookings", FLOOR);
-    // The last character of an unpadded part may carry unused bits, so it is left out.
+    // The last character of an unpadded part may hold unused bits, so changing it may have no
+    // effect.
     for (int i = 0; i < token.length() - 1; i++) {
       char other = token.charAt(i) == 'A' ? 'B' : 'A';
       String damaged = token.substring(0, i) + other + token.substring(i + 1);
--- a/server/src/test/java/org/streamcourse/request/edge/RetryBudgetTest.java
+++ b/server/src/test/java/org/streamcourse/request/edge/RetryBudgetTest.java
@@ -6,10 +6,10 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Retries are a reserve, and then a share of the requests. */
+/** Retries are limited to a reserve, and after that to a share of the requests. */
 public class RetryBudgetTest {
-  private static long allowed(RetryBudget budget, int asked) {
-    return IntStream.range(0, asked).filter(any -> budget.tryRetry()).count();
+  private static long allowed(RetryBudget budget, int requested) {
+    return IntStream.range(0, requested).filter(any -> budget.tryRetry()).count();
   }
 
   @Test
--- a/server/src/test/java/org/streamcourse/request/edge/StatementClassifierTest.java
+++ b/server/src/test/java/org/streamcourse/request/edge/StatementClassifierTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What is certainly a read goes to replicas; everything else must not. */
+/** Only statements that are provably reads may go to replicas. */
 public class StatementClassifierTest {
   private final StatementClassifier classifier = new StatementClassifier();
 
@@ -40,7 +40,7 @@
   }
 
   @Test
-  public void sessionStateIsNoticed() {
+  public void changesOfSessionStateAreDetected() {
     assertTrue(classifier.classify("SELECT pg_advisory_lock(7)").changesSession());
     assertTrue(classifier.classify("CREATE TEMP TABLE t (a INT)").changesSession());
   }
@@ -60,7 +60,7 @@
   }
 
   @Test(dataProvider = "masks")
-  public void masksOnlyWhatIsClear(String sql, String masked) {
+  public void masksOnlyUnambiguousLiterals(String sql, String masked) {
     assertEquals(LiteralMask.mask(sql), masked);
   }
 }
