--- a/server/src/main/java/org/streamcourse/request/gateway/AnswerBuffer.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/AnswerBuffer.java
@@ -5,12 +5,12 @@
 import org.streamcourse.connection.wire.WireMessage;
 
 /**
- * Messages of a unit's answer that were not sent on yet.
+ * Messages of a unit's answer that have not been sent to the edge yet.
  *
- * <p>Two kinds are kept back. The preamble (completions of Parse and Bind, descriptions) waits for
- * the first message that shows that a statement ran, so that a unit which the member refuses can
- * still be run elsewhere. From the first CommandComplete of a unit that may commit, everything
- * waits until the commit is acknowledged.
+ * <p>Two kinds of messages are held back. The preamble (completions of Parse and Bind, and
+ * descriptions) is held until the first message which shows that a statement ran, so that a unit
+ * which the member refuses can still run at another member. From the first CommandComplete of a
+ * unit that may commit, all messages are held until the commit is acknowledged.
  */
 final class AnswerBuffer {
   private final ByteArrayOutputStream released = new ByteArrayOutputStream();
@@ -58,7 +58,7 @@
     return held.size();
   }
 
-  /** What may be sent on while the unit runs. */
+  /** Takes the messages that may be sent to the edge while the unit runs. */
   byte[] takeReleased(boolean keepPreamble) {
     if (onlyPreamble && keepPreamble) {
       return new byte[0];
@@ -68,7 +68,7 @@
     return bytes;
   }
 
-  /** Everything, once the unit has ended. */
+  /** Takes all messages, held ones included; called once the unit has ended. */
   byte[] takeAll() {
     released.writeBytes(held.toByteArray());
     held.reset();
--- a/server/src/main/java/org/streamcourse/request/gateway/AnswerListener.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/AnswerListener.java
@@ -6,19 +6,19 @@
 import org.streamcourse.process.Worker;
 
 /**
- * Hands what arrives on a connection to the stream that holds it, on the gateway's worker. What
- * arrives after the stream has given the connection back is dropped.
+ * Passes the events of a pooled connection to the stream that holds the connection, on the
+ * gateway's worker. Events that arrive after the stream has returned the connection are dropped.
  */
 final class AnswerListener implements MemberSession.Listener {
-  /** Takes what arrives. */
+  /** Receives the events of the connection. */
   interface Receiver {
     boolean holds(PoolEntry entry);
 
-    void memberSent(WireMessage message);
+    void onMemberMessage(WireMessage message);
 
-    void memberPaused();
+    void onMemberReadComplete();
 
-    void memberClosed(String cause);
+    void onMemberClosed(String cause);
   }
 
   private final PoolEntry entry;
@@ -33,17 +33,17 @@
 
   @Override
   public void onMessage(WireMessage message) {
-    handle(() -> receiver.memberSent(message));
+    handle(() -> receiver.onMemberMessage(message));
   }
 
   @Override
   public void onReadComplete() {
-    handle(receiver::memberPaused);
+    handle(receiver::onMemberReadComplete);
   }
 
   @Override
   public void onClosed(String cause) {
-    handle(() -> receiver.memberClosed(cause));
+    handle(() -> receiver.onMemberClosed(cause));
   }
 
   private void handle(Runnable task) {
--- a/server/src/main/java/org/streamcourse/request/gateway/CommitAcknowledger.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/CommitAcknowledger.java
@@ -19,10 +19,11 @@
  * Holds the answers of commits at a primary until a majority of the group is known to have received
  * them under the primary's term.
  *
- * <p>Why this is safe without clocks: a newer primary needs a majority fenced at its newer term
- * first. A fenced replica takes nothing more under the old term, and what it received before is
- * found by the change of primary. So a commit that a majority received under its term is in every
- * later primary's log, and a replaced primary finds no majority for what it writes afterwards.
+ * <p>This is safe without clocks: before a new primary is promoted, a majority must be fenced at
+ * its newer term. A fenced replica accepts nothing more under the old term, and the change of
+ * primary takes into account everything that the replica received before. So a commit that a
+ * majority received under its term is in the log of every later primary, and a replaced primary
+ * finds no majority for its later writes.
  *
  * <p>All methods run on the gateway's worker.
  */
@@ -48,17 +49,17 @@
   private final Map<String, ReceivedReport> reports = new HashMap<>();
   private final List<Commit> waiting = new ArrayList<>();
   private GroupImage group;
-  private int asks;
+  private int requestRounds;
   private boolean timerSet;
 
   /**
    * Creates an acknowledger.
    *
    * @param worker the gateway's worker
-   * @param network way to the replicas' gateways
+   * @param network sends messages to the replicas' gateways
    * @param settings timing
-   * @param group group's image
-   * @param primary member whose commits are held
+   * @param group image of the group
+   * @param primary member whose commits are acknowledged
    */
   public CommitAcknowledger(
       Worker worker,
@@ -74,9 +75,9 @@
   }
 
   /**
-   * Takes a new image of the group.
+   * Replaces the image of the group.
    *
-   * @param image the image
+   * @param image new image of the group
    */
   public void update(GroupImage image) {
     group = image;
@@ -85,19 +86,22 @@
   /**
    * Waits until a majority has received a commit.
    *
-   * @param position place of the commit; its term is the term under which it must be received
-   * @param answer gets true once a majority has it, false when that was not shown in time
+   * @param position log position of the commit; a majority must receive it under the position's
+   *     term
+   * @param answer receives true once a majority has the commit, false if that takes longer than
+   *     {@code acknowledgeMillis}
    */
   public void await(TermPosition position, Consumer<Boolean> answer) {
     await(position.term(), position, answer);
   }
 
   /**
-   * Waits until a majority has received everything up to a place under a term.
+   * Waits until a majority has received the log up to a position under a term.
    *
-   * @param term the primary's term, not below that of the place
-   * @param position the place
-   * @param answer gets true once a majority has it, false when that was not shown in time
+   * @param term the primary's term, not below the term of the position
+   * @param position log position
+   * @param answer receives true once a majority has the position, false if that takes longer than
+   *     {@code acknowledgeMillis}
    */
   public void await(long term, TermPosition position, Consumer<Boolean> answer) {
     Commit commit = new Commit(term, position, worker.now() + settings.acknowledgeMillis(), answer);
@@ -106,16 +110,16 @@
       return;
     }
     waiting.add(commit);
-    ask(commit.term, commit.position);
+    requestReports(commit.term, commit.position);
     setTimer();
   }
 
   /**
-   * Takes in what a replica's gateway reported.
+   * Handles a report of a replica's gateway; an outdated one is ignored.
    *
-   * @param report the report
+   * @param report log position that the replica has received
    */
-  public void reported(ReceivedReport report) {
+  public void onReport(ReceivedReport report) {
     ReceivedReport known = reports.get(report.member());
     boolean newer =
         known == null
@@ -156,12 +160,12 @@
     return received >= group.majority();
   }
 
-  /** Asks each replica through one of its gateways, another one at each repetition. */
-  private void ask(long term, TermPosition position) {
+  /** Requests a report on each replica from one of its gateways, a different one at each retry. */
+  private void requestReports(long term, TermPosition position) {
     for (MemberImage member : group.members()) {
       List<Allowance> gateways = member.allowances();
       if (!member.name().equals(primary) && !gateways.isEmpty()) {
-        String gateway = gateways.get(asks % gateways.size()).node();
+        String gateway = gateways.get(requestRounds % gateways.size()).node();
         network.send(gateway, new AwaitReceived(group.name(), member.name(), term, position));
       }
     }
@@ -170,11 +174,11 @@
   private void setTimer() {
     if (!timerSet) {
       timerSet = true;
-      worker.schedule(settings.askAgainMillis(), this::tick);
+      worker.schedule(settings.requestRetryMillis(), this::onTimer);
     }
   }
 
-  private void tick() {
+  private void onTimer() {
     timerSet = false;
     long now = worker.now();
     List<Commit> expired = waiting.stream().filter(commit -> commit.deadline <= now).toList();
@@ -183,9 +187,9 @@
     if (waiting.isEmpty()) {
       return;
     }
-    asks++;
+    requestRounds++;
     Commit last = waiting.get(waiting.size() - 1);
-    ask(last.term, last.position);
+    requestReports(last.term, last.position);
     setTimer();
   }
 }
--- a/server/src/main/java/org/streamcourse/request/gateway/FreshnessTracker.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/FreshnessTracker.java
@@ -20,28 +20,30 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * Shows how fresh a member is, from questions asked only while reads need it.
+ * Bounds the staleness of a member by comparing its log position with the primary's. Positions are
+ * requested only while there are reads that need the bound.
  *
- * <p>A round asks all members where they stand. It counts when, after it began, the primary and
- * enough others to make a majority with this member were all at this member's term: then no newer
- * primary existed when the round began, and the primary's place bounds everything acknowledged
- * before that moment. A member that has applied this place is no staler than the time since the
- * round began. Arrival times of positions are never used.
+ * <p>A round requests the positions of all members. It succeeds when the members that replied at
+ * this member's term include this member and the primary and form a majority: then no newer primary
+ * existed when the round began, and no write acknowledged before that moment is above the primary's
+ * position. Once the member has applied that position, its staleness is at most the time since the
+ * round began. The times at which positions arrive are never used.
  *
  * <p>All methods run on the gateway's worker.
  */
 final class FreshnessTracker {
-  private record Evidence(long askedAt, TermPosition primaryPosition) {}
+  /** Result of a successful round. */
+  private record Evidence(long startedAt, TermPosition primaryPosition) {}
 
   private static final int KEPT_EVIDENCE = 64;
 
-  /** A round under way. */
+  /** A round of position requests that has not succeeded yet. */
   private static final class Round {
-    final long askedAt;
+    final long startedAt;
     final Map<String, MemberStatus> replies = new HashMap<>();
 
-    Round(long askedAt) {
-      this.askedAt = askedAt;
+    Round(long startedAt) {
+      this.startedAt = startedAt;
     }
   }
 
@@ -50,13 +52,13 @@
   private final MemberMonitor monitor;
   private final String member;
   private final LongSupplier requestIds;
-  private final long askAgainMillis;
+  private final long requestRetryMillis;
   private final Map<Long, Round> rounds = new HashMap<>();
   private final Deque<Evidence> evidence = new ArrayDeque<>();
   private final Runnable onEvidence;
   private GroupImage group;
   private long lastRoundAt = Long.MIN_VALUE / 2;
-  private int asks;
+  private int roundsStarted;
 
   FreshnessTracker(
       Worker worker,
@@ -65,7 +67,7 @@
       GroupImage group,
       String member,
       LongSupplier requestIds,
-      long askAgainMillis,
+      long requestRetryMillis,
       Runnable onEvidence) {
     this.worker = worker;
     this.network = network;
@@ -73,7 +75,7 @@
     this.group = group;
     this.member = member;
     this.requestIds = requestIds;
-    this.askAgainMillis = askAgainMillis;
+    this.requestRetryMillis = requestRetryMillis;
     this.onEvidence = onEvidence;
   }
 
@@ -81,49 +83,51 @@
     group = image;
   }
 
-  /** Whether the member is shown to be no staler than the limit. */
+  /** Whether a successful round shows that the member's staleness is within the limit. */
   boolean isFresh(long maxStalenessMillis) {
-    return freshAsOf().map(askedAt -> worker.now() - askedAt <= maxStalenessMillis).orElse(false);
+    return freshAsOf()
+        .map(startedAt -> worker.now() - startedAt <= maxStalenessMillis)
+        .orElse(false);
   }
 
-  /** Latest moment up to which everything acknowledged is applied here. */
+  /** Latest start of a round whose primary position this member has applied. */
   private Optional<Long> freshAsOf() {
     TermPosition applied = monitor.status().applied();
     return evidence.stream()
         .filter(each -> applied.reaches(each.primaryPosition()))
-        .map(Evidence::askedAt)
+        .map(Evidence::startedAt)
         .max(Long::compare);
   }
 
-  /** Starts a round unless one started a short while ago. */
-  void ask(long maxStalenessMillis) {
-    long pause = Math.min(askAgainMillis, maxStalenessMillis / 4);
+  /** Starts a round unless the previous round started too recently. */
+  void startRoundIfDue(long maxStalenessMillis) {
+    long pause = Math.min(requestRetryMillis, maxStalenessMillis / 4);
     if (worker.now() - lastRoundAt < pause) {
       return;
     }
     lastRoundAt = worker.now();
-    asks++;
+    roundsStarted++;
     long id = requestIds.getAsLong();
     Round round = new Round(worker.now());
     rounds.put(id, round);
-    worker.schedule(askAgainMillis * 4, () -> rounds.remove(id));
-    monitor.refresh(status -> status.ifPresent(own -> replied(id, member, own)));
+    worker.schedule(requestRetryMillis * 4, () -> rounds.remove(id));
+    monitor.refresh(status -> status.ifPresent(own -> onReply(id, member, own)));
     for (MemberImage other : group.members()) {
       List<Allowance> gateways = other.allowances();
       if (!other.name().equals(member) && !gateways.isEmpty()) {
-        String gateway = gateways.get(asks % gateways.size()).node();
+        String gateway = gateways.get(roundsStarted % gateways.size()).node();
         network.send(gateway, new PositionRequest(id, group.name(), other.name()));
       }
     }
   }
 
-  void replied(PositionReply reply) {
+  void onReply(PositionReply reply) {
     if (reply.known()) {
-      replied(reply.requestId(), reply.member(), reply.status());
+      onReply(reply.requestId(), reply.member(), reply.status());
     }
   }
 
-  private void replied(long id, String from, MemberStatus status) {
+  private void onReply(long id, String from, MemberStatus status) {
     Round round = rounds.get(id);
     if (round == null) {
       return;
@@ -141,7 +145,7 @@
       return;
     }
     rounds.remove(id);
-    evidence.addLast(new Evidence(round.askedAt, primary.get().received()));
+    evidence.addLast(new Evidence(round.startedAt, primary.get().received()));
     if (evidence.size() > KEPT_EVIDENCE) {
       evidence.removeFirst();
     }
--- a/server/src/main/java/org/streamcourse/request/gateway/GatewayNode.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/GatewayNode.java
@@ -39,8 +39,8 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * All gateways of this node and their streams. Messages are handed to the worker of the gateway or
- * stream that they concern; the two tables here are concurrent maps and need no lock.
+ * All gateways of this node and their streams. Each message is handled on the worker of the gateway
+ * or stream that it concerns; the maps of gateways and streams are concurrent and need no lock.
  */
 public final class GatewayNode {
   private record StreamKey(String peer, long streamId) {}
@@ -58,20 +58,26 @@
   private final ControlSettings controlSettings;
   private final Map<String, MemberGateway> gateways = new ConcurrentHashMap<>();
   private final Map<StreamKey, GatewayStream> streams = new ConcurrentHashMap<>();
-  private final Map<String, Long> peersHeardAt = new ConcurrentHashMap<>();
+  private final Map<String, Long> lastReceivedAt = new ConcurrentHashMap<>();
+
+  /** Keys of the gateways whose latest allowance has no connections. */
   private final Set<String> withdrawn = new TreeSet<>();
+
   private final AtomicLong requestIds = new AtomicLong();
   private ClusterImage previousImage = ClusterImage.EMPTY;
 
-  /** Whether connections are held; not before the image of the last run is confirmed. */
-  private boolean holding;
+  /**
+   * Whether this node may use its allowances. False after a start until the controllers have
+   * confirmed the stored image, and while the allowances have lapsed.
+   */
+  private boolean mayUseAllowances;
 
   /**
-   * Creates the gateways' node part; it listens to the agent's images.
+   * Creates the gateways of this node, which follow the images of the agent.
    *
-   * @param workers gives a worker to each gateway
+   * @param workers supplies the worker of each gateway
    * @param agentWorker the agent's worker
-   * @param network way to other nodes
+   * @param network sends messages to other nodes
    * @param agent this node's agent
    * @param connector opens connections to members
    * @param settings gateway settings
@@ -99,9 +105,9 @@
     agent.onConfirmed(this::confirmed);
   }
 
-  /** Starts the signs of life for open streams. */
+  /** Starts the keep-alive messages for open streams and the check for lapsed allowances. */
   public void start() {
-    agentWorker.repeat(settings.keepAliveMillis(), this::keepStreams);
+    agentWorker.repeat(settings.keepAliveMillis(), this::sendKeepAlives);
     agentWorker.repeat(LAPSE_CHECK_MILLIS, this::checkLapse);
   }
 
@@ -120,7 +126,7 @@
   }
 
   /**
-   * Returns the number of connections to members, those of monitors left out.
+   * Returns the number of connections to members, without those of monitors.
    *
    * @return connections that are open, being opened or being ended
    */
@@ -129,9 +135,9 @@
   }
 
   /**
-   * Tells whether the node may stop without cutting anything.
+   * Returns whether the node can stop without interrupting a request.
    *
-   * @return true when it has neither gateways nor open streams
+   * @return true when the node has neither gateways nor open streams
    */
   public boolean isDrained() {
     return gateways.isEmpty() && streams.isEmpty();
@@ -148,19 +154,21 @@
 
   // ---- allowances ----
 
-  /** The allowances of the image are this node's own: takes them up if they had lapsed. */
+  /**
+   * Called when the controllers confirm this node: uses the image's allowances, also after a lapse.
+   */
   private void confirmed() {
-    if (!holding) {
-      holding = true;
+    if (!mayUseAllowances) {
+      mayUseAllowances = true;
       previousImage = ClusterImage.EMPTY;
       imageChanged(agent.image());
     }
   }
 
-  /** Ends all connections in time, before the controllers give this node's parts to others. */
+  /** Ends all connections before the controllers can assign this node's allowances to others. */
   private void checkLapse() {
-    if (holding && !agent.holdsAllowances()) {
-      holding = false;
+    if (mayUseAllowances && !agent.holdsAllowances()) {
+      mayUseAllowances = false;
       streams.values().forEach(each -> each.worker().execute(each::allowanceLapsed));
       gateways.forEach(
           (key, gateway) -> {
@@ -178,12 +186,12 @@
   // ---- images ----
 
   private void imageChanged(ClusterImage image) {
-    if (!holding) {
+    if (!mayUseAllowances) {
       return;
     }
     Set<String> wanted = new TreeSet<>();
     AllowanceTally tally = new AllowanceTally(image.version());
-    for (GroupImage group : groupsToLookAt(image)) {
+    for (GroupImage group : groupsToUpdate(image)) {
       for (MemberImage member : group.members()) {
         Allowance allowance = member.allowanceOf(agent.self().name());
         if (allowance != null) {
@@ -200,14 +208,14 @@
         withdrawReport(key);
       }
     }
-    tally.allAsked();
+    tally.allExpected();
   }
 
   /**
-   * Groups that have changed since the image before, and those that this node is a gateway of. The
-   * others, nearly all at full size, are told by being the same object as before.
+   * Returns the groups that have changed since the previous image, and those with a gateway on this
+   * node. An unchanged group, as most are in a large fleet, is the same object in both images.
    */
-  private Collection<GroupImage> groupsToLookAt(ClusterImage image) {
+  private Collection<GroupImage> groupsToUpdate(ClusterImage image) {
     Map<String, GroupImage> found = new TreeMap<>();
     for (GroupImage group : image.groups().values()) {
       if (previousImage.groups().get(group.name()) != group) {
@@ -223,16 +231,16 @@
 
   private void updateGateway(
       GroupImage group, MemberImage member, Allowance allowance, AllowanceTally tally) {
-    tally.ask();
+    tally.expect();
     String key = key(group.name(), member.name());
     if (allowance.connections() == 0) {
       withdrawn.add(key);
     } else if (withdrawn.remove(key)) {
-      // A gateway whose part was withdrawn has stopped its monitor and does not start again.
+      // A gateway whose allowance was withdrawn has stopped its monitor and does not restart it.
       gateways.remove(key);
     }
     MemberGateway gateway = gateways.computeIfAbsent(key, any -> newGateway(group, member));
-    gateway.worker().execute(() -> gateway.update(group, member, allowance, tally::held));
+    gateway.worker().execute(() -> gateway.update(group, member, allowance, tally::applied));
   }
 
   private MemberGateway newGateway(GroupImage group, MemberImage member) {
@@ -252,26 +260,26 @@
     return gateway;
   }
 
-  /** Counts the gateways that keep the allowances of a version. */
+  /** Counts the gateways that still have to apply the allowances of an image version. */
   private final class AllowanceTally {
     private final long version;
-    private int missing = 1;
+    private int pending = 1;
 
     AllowanceTally(long version) {
       this.version = version;
     }
 
-    synchronized void ask() {
-      missing++;
+    synchronized void expect() {
+      pending++;
     }
 
-    void allAsked() {
-      held();
+    void allExpected() {
+      applied();
     }
 
-    synchronized void held() {
-      missing--;
-      if (missing == 0) {
+    synchronized void applied() {
+      pending--;
+      if (pending == 0) {
         agentWorker.execute(() -> agent.allowancesHeld(version));
       }
     }
@@ -288,7 +296,7 @@
    *
    * @param peer sender
    * @param message what arrived
-   * @return false when the message is none of a gateway's
+   * @return false when other parts of the node must handle the message
    */
   public boolean receive(String peer, Object message) {
     if (message instanceof OpenStream open) {
@@ -302,38 +310,38 @@
     } else if (message instanceof CancelUnit cancel) {
       onStream(peer, cancel.streamId(), GatewayStream::cancel);
     } else if (message instanceof KeepStreams) {
-      peersHeardAt.put(peer, agentWorker.now());
+      lastReceivedAt.put(peer, agentWorker.now());
       return false;
     } else {
       return receiveAboutMember(peer, message);
     }
-    peersHeardAt.put(peer, agentWorker.now());
+    lastReceivedAt.put(peer, agentWorker.now());
     return true;
   }
 
   private boolean receiveAboutMember(String peer, Object message) {
     if (message instanceof PositionRequest request) {
       if (!onGateway(
-          request.group(), request.member(), each -> each.positionRequested(peer, request))) {
+          request.group(), request.member(), each -> each.onPositionRequest(peer, request))) {
         network.send(
             peer,
             new PositionReply(request.requestId(), request.member(), false, MemberStatus.UNKNOWN));
       }
     } else if (message instanceof AwaitReceived request) {
-      onGateway(request.group(), request.member(), each -> each.receivedAwaited(peer, request));
+      onGateway(request.group(), request.member(), each -> each.onAwaitReceived(peer, request));
     } else if (message instanceof ReceivedReport report) {
       gateways.forEach(
           (key, gateway) -> {
             if (key.startsWith(report.group() + '/')) {
-              gateway.worker().execute(() -> gateway.receivedReported(report));
+              gateway.worker().execute(() -> gateway.onReceivedReport(report));
             }
           });
     } else if (message instanceof PositionReply reply) {
-      gateways.values().forEach(each -> each.worker().execute(() -> each.positionReplied(reply)));
+      gateways.values().forEach(each -> each.worker().execute(() -> each.onPositionReply(reply)));
       return false;
     } else if (message instanceof MemberOrder order) {
       long holdMillis = controlSettings.holdWritesMillis();
-      onGateway(order.group(), order.member(), each -> each.ordered(peer, order, holdMillis));
+      onGateway(order.group(), order.member(), each -> each.onOrder(peer, order, holdMillis));
     } else {
       return false;
     }
@@ -376,9 +384,10 @@
   }
 
   /**
-   * Rolls back what an edge had open, since the link to it broke.
+   * Abandons the streams of an edge after the peer link to it broke; open transactions are rolled
+   * back.
    *
-   * @param peer the edge
+   * @param peer the edge's node
    */
   public void linkLost(String peer) {
     streams.values().stream()
@@ -386,9 +395,12 @@
         .forEach(each -> each.worker().execute(() -> breakOff(each)));
   }
 
-  /** The edge may have heard of the link's end before it opened the stream on another. */
+  /**
+   * Abandons a stream and reports that to the edge, which may have opened the stream on a newer
+   * link after it noticed the end of the old one.
+   */
   private void breakOff(GatewayStream stream) {
-    String detail = "link to " + stream.peer() + " broke";
+    String detail = "peer link to " + stream.peer() + " broke";
     network.send(stream.peer(), new Broken(stream.id(), "link", detail));
     stream.abandon();
   }
@@ -397,13 +409,13 @@
     stream.worker().execute(stream::abandon);
   }
 
-  /** Shows the edges that their streams are still worked on, and drops streams of silent edges. */
-  private void keepStreams() {
+  /** Sends keep-alives for open streams, and abandons the streams of unresponsive edges. */
+  private void sendKeepAlives() {
     long now = agentWorker.now();
     Map<String, List<Long>> byPeer = new TreeMap<>();
     for (GatewayStream stream : streams.values()) {
-      long heardAt = peersHeardAt.getOrDefault(stream.peer(), now);
-      if (now - heardAt > settings.edgeSilenceMillis()) {
+      long receivedAt = lastReceivedAt.getOrDefault(stream.peer(), now);
+      if (now - receivedAt > settings.edgeSilenceMillis()) {
         abandon(stream);
       } else {
         byPeer.computeIfAbsent(stream.peer(), any -> new ArrayList<>()).add(stream.id());
--- a/server/src/main/java/org/streamcourse/request/gateway/GatewaySettings.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/GatewaySettings.java
@@ -3,26 +3,28 @@
 /**
  * Timing of a gateway.
  *
- * @param acknowledgeMillis time that a commit has to reach a majority before its outcome is told as
- *     unknown
- * @param askAgainMillis time after which a replica's other gateway is asked
- * @param freshnessWaitMillis longest time that a read waits to be shown fresh
+ * @param acknowledgeMillis time within which a majority must receive a commit before its outcome is
+ *     reported as unknown
+ * @param requestRetryMillis time after which an unanswered request about a replica is sent through
+ *     another gateway of the replica
+ * @param freshnessWaitMillis longest time that a read waits for proof that the member is fresh
  * @param primaryWaitMillis longest time that a write waits for the member to become primary, or for
- *     writes that are held; below the time after which an edge gives up a write whose primary was
- *     replaced
- * @param edgeSilenceMillis silence of an edge after which its transactions are rolled back
- * @param keepAliveMillis time between signs of life for open streams
- * @param windowBytes bytes of an answer sent ahead of the caller
+ *     held writes to be released; less than the time after which an edge abandons a write whose
+ *     primary was replaced
+ * @param edgeSilenceMillis time without a message from an edge after which its transactions are
+ *     rolled back
+ * @param keepAliveMillis interval of the keep-alive messages for open streams
+ * @param windowBytes bytes of an answer that may be sent before the caller has read them
  */
 public record GatewaySettings(
     long acknowledgeMillis,
-    long askAgainMillis,
+    long requestRetryMillis,
     long freshnessWaitMillis,
     long primaryWaitMillis,
     long edgeSilenceMillis,
     long keepAliveMillis,
     int windowBytes) {
-  /** Values used when the settings file names none. */
+  /** Default values. */
   public static final GatewaySettings DEFAULT =
       new GatewaySettings(3_000, 200, 150, 250, 4_000, 1_000, 256 * 1024);
 }
--- a/server/src/main/java/org/streamcourse/request/gateway/GatewayStream.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/GatewayStream.java
@@ -20,12 +20,12 @@
 /**
  * Runs one stream's units on one member connection.
  *
- * <p>Invariants: the connection belongs to this stream from its grant until it goes back to the
- * pool or is closed; it goes back only when it is idle, has no unread answer and was reset after
- * anything that leaves state behind. Once a byte of a unit has gone to the member, the stream
- * answers with the unit's outcome or with {@code Broken}; {@code Refused} is sent only before, or
- * when the member itself refused the unit's first statement. Only the member's ReadyForQuery ends a
- * unit, so a cut answer is never passed off as whole.
+ * <p>Invariants: the connection belongs to this stream from its grant until it is returned to the
+ * pool or closed. It is returned only when it is idle, has no unread answer and was reset after any
+ * unit that leaves state behind. Once a byte of a unit has been sent to the member, the stream
+ * replies with the unit's outcome or with {@code Broken}; {@code Refused} is sent only before that,
+ * or when the member itself refused the unit's first statement. Only the member's ReadyForQuery
+ * ends a unit, so a truncated answer is never reported as complete.
  *
  * <p>All methods run on the gateway's worker.
  */
@@ -36,13 +36,13 @@
   private final String peer;
   private final OpenStream request;
   private final MemberGateway gateway;
-  private final StreamReplies edge;
+  private final StreamReplies replies;
   private final Runnable onClosed;
   private final AnswerBuffer answer = new AnswerBuffer();
   private StreamState state = StreamState.ADMITTING;
   private final StreamGrant grant;
   private Unit unit;
-  private NamedRequest named;
+  private NamedRequest namedRequest;
   private boolean firstUnit = true;
   private boolean refusedByMember;
   private boolean changedSession;
@@ -62,7 +62,7 @@
     this.gateway = gateway;
     this.grant = new StreamGrant(gateway.pool(), gateway.worker());
     int window = gateway.settings().windowBytes();
-    this.edge = new StreamReplies(network, peer, request.streamId(), window);
+    this.replies = new StreamReplies(network, peer, request.streamId(), window);
     this.onClosed = onClosed;
     this.unit = request.unit();
   }
@@ -103,7 +103,7 @@
     gateway.pool().acquire(request.user(), request.budgetMillis(), this);
   }
 
-  /** Answers of the pool come on any thread. */
+  /** Called by the pool on any thread. */
   @Override
   public void granted(PoolEntry grantedEntry) {
     worker().execute(() -> onGranted(grantedEntry));
@@ -167,8 +167,8 @@
       return;
     }
     state = StreamState.NAMING;
-    named = new NamedRequest(unit.requestKey(), gateway, edge, new NamedSteps());
-    named.claim(grant.session());
+    namedRequest = new NamedRequest(unit.requestKey(), gateway, replies, new NamedSteps());
+    namedRequest.claim(grant.session());
   }
 
   private void run() {
@@ -198,8 +198,8 @@
   }
 
   void credit(int bytes) {
-    edge.credit(bytes);
-    if (!edge.isWindowFull()) {
+    replies.credit(bytes);
+    if (!replies.isWindowFull()) {
       grant.resumeReading();
     }
   }
@@ -210,21 +210,22 @@
     }
   }
 
-  /** The edge no longer wants the stream: what is open is rolled back. */
+  /** Ends the stream on behalf of its edge; an open transaction is rolled back. */
   void abandon() {
     abandoned = true;
-    edge.silence();
+    replies.suppressFailures();
     if (state == StreamState.OPEN) {
       end(transactionStatus == Backend.STATUS_IDLE);
-    } else if (state.isMemberAtWork()) {
+    } else if (state.isMemberWorking()) {
       discard();
     }
   }
 
-  /** The node may no longer use its connections: what is open is rolled back. */
+  /** Ends the stream when the node may no longer use its connections; its work is rolled back. */
   void allowanceLapsed() {
     if (grant.entry() != null && state != StreamState.RESETTING) {
-      breakOff("allowance", "this node has lost touch with the controllers");
+      breakOff(
+          "allowance", "the node lost contact with the controllers and closes its connections");
     }
   }
 
@@ -236,14 +237,14 @@
   }
 
   @Override
-  public void memberSent(WireMessage message) {
+  public void onMemberMessage(WireMessage message) {
     switch (state) {
       case PREPARING -> onPreparing(message);
       case NAMING -> onNaming(message);
       case RUNNING -> onRunning(message);
       case RESETTING -> onResetting(message);
       default -> {
-        // Reports and notices that come while no unit runs are not for a caller.
+        // Parameter reports and notices that arrive while no unit runs are not for a caller.
       }
     }
   }
@@ -267,11 +268,11 @@
     if (message.type() == Backend.PARAMETER_STATUS) {
       onParameter(message);
     } else {
-      named.onMessage(message);
+      namedRequest.onMessage(message);
     }
   }
 
-  /** What follows the steps of a named request. */
+  /** Continues the stream after each step of a named request. */
   private final class NamedSteps implements NamedRequest.Listener {
     @Override
     public void claimed() {
@@ -337,7 +338,7 @@
 
   private void onReady(char status) {
     transactionStatus = status;
-    if (named != null) {
+    if (namedRequest != null) {
       onNamedUnitEnded(status);
       return;
     }
@@ -353,7 +354,7 @@
   private void onNamedUnitEnded(char status) {
     if (status == Backend.STATUS_IN_TRANSACTION) {
       state = StreamState.NAMING;
-      named.commit(grant.session());
+      namedRequest.commit(grant.session());
       return;
     }
     grant.discard();
@@ -362,7 +363,7 @@
       return;
     }
     sendOutput(answer.takeAll());
-    edge.done(Backend.STATUS_IDLE, gateway.status().applied(), false, false);
+    replies.done(Backend.STATUS_IDLE, gateway.status().applied(), false, false);
     close();
   }
 
@@ -380,7 +381,9 @@
               if (received) {
                 finishUnit(status);
               } else {
-                edge.broken("acknowledge", "commit " + committedAt + " was not seen at a majority");
+                replies.broken(
+                    "acknowledge",
+                    "commit " + committedAt + " was not confirmed at a majority in time");
                 end(status == Backend.STATUS_IDLE && !changedSession);
               }
             });
@@ -390,7 +393,7 @@
     boolean staysOpen = status != Backend.STATUS_IDLE && !abandoned;
     sendOutput(answer.takeAll());
     TermPosition position = committedAt == null ? gateway.status().applied() : committedAt;
-    edge.done(status, position, committedAt != null, staysOpen);
+    replies.done(status, position, committedAt != null, staysOpen);
     if (staysOpen) {
       state = StreamState.OPEN;
     } else if (status != Backend.STATUS_IDLE) {
@@ -421,14 +424,14 @@
   }
 
   @Override
-  public void memberClosed(String cause) {
+  public void onMemberClosed(String cause) {
     if (state == StreamState.ACKNOWLEDGING) {
-      // The commit's answer was read whole; only the connection is gone.
+      // The member's answer to the commit is complete; only the connection is lost.
       grant.discard();
       return;
     }
     if (state != StreamState.RESETTING) {
-      edge.broken("member", cause);
+      replies.broken("member", cause);
     }
     discard();
   }
@@ -436,7 +439,7 @@
   // ---- sending ----
 
   @Override
-  public void memberPaused() {
+  public void onMemberReadComplete() {
     if (state == StreamState.RUNNING) {
       sendOutput(answer.takeReleased(unit.endsWithReady()));
     }
@@ -444,21 +447,21 @@
 
   private void sendOutput(byte[] messages) {
     if (messages.length > 0) {
-      edge.output(messages);
+      replies.output(messages);
     }
-    if (edge.isWindowFull() && state == StreamState.RUNNING) {
+    if (replies.isWindowFull() && state == StreamState.RUNNING) {
       grant.pauseReading();
     }
   }
 
   private void refuse(Refusal refusal, long retryAfterMillis) {
-    edge.refused(refusal, gateway.status().applied(), retryAfterMillis);
+    replies.refused(refusal, gateway.status().applied(), retryAfterMillis);
     close();
   }
 
   // ---- ending ----
 
-  /** Gives a clean connection back, and ends any other. */
+  /** Returns a clean connection to the pool, and closes any other. */
   private void end(boolean clean) {
     if (clean) {
       grant.release();
@@ -469,11 +472,11 @@
   }
 
   private void breakOff(String step, String detail) {
-    edge.broken(step, detail);
+    replies.broken(step, detail);
     discard();
   }
 
-  /** Ends the connection, which makes the member roll back and stop. */
+  /** Closes the connection, so that the member stops and rolls back what runs on it. */
   private void discard() {
     grant.discard();
     close();
--- a/server/src/main/java/org/streamcourse/request/gateway/MemberGateway.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/MemberGateway.java
@@ -30,13 +30,13 @@
 import org.streamcourse.version.image.MemberImage;
 
 /**
- * This node's gateway to one member: its connections, what is known of the member, and the
- * admission of work. Lives as long as the node has an allowance for the member.
+ * This node's gateway to one member: the connections, the member's last known status, and the
+ * admission of units. Exists as long as the node has an allowance for the member.
  *
  * <p>All methods run on the gateway's worker, except {@link #pool()}.
  */
 public final class MemberGateway {
-  /** Hears whether a unit may run now. */
+  /** Receives the decision whether a unit may run. */
   interface Admission {
     void admitted();
 
@@ -53,22 +53,24 @@
   private final MemberPool pool;
   private final CommitAcknowledger acknowledger;
   private final ReceivedWatch receivedWatch;
-  private final List<AdmissionWait> waitingForAdmission = new ArrayList<>();
+  private final List<AdmissionWait> admissionWaits = new ArrayList<>();
   private final FreshnessTracker freshness;
+
+  /** Orders to hold writes that wait until the open writes have ended. */
   private final List<Consumer<Boolean>> awaitingDrain = new ArrayList<>();
 
-  /** Fences that wait for the member to receive something. */
+  /** Fence orders that wait until the member has received the log position that they name. */
   private final List<Runnable> awaitingReceipt = new ArrayList<>();
 
   private GroupImage group;
   private MemberImage member;
   private Allowance allowance = new Allowance("", 0, 0);
-  private long heldUntil;
-  private long heldTerm;
+  private long writesHeldUntil;
+  private long writesHeldTerm;
   private int openWrites;
   private boolean wasReachable;
 
-  /** Whether the node's part may have been given to others. */
+  /** Whether the controllers may have assigned the node's allowance to other nodes. */
   private boolean lapsed;
 
   MemberGateway(
@@ -103,17 +105,17 @@
             group,
             member.name(),
             requestIds,
-            settings.askAgainMillis(),
-            this::lookAgain);
-    monitor.onChange(() -> memberChanged(agentWorker));
+            settings.requestRetryMillis(),
+            this::recheckWaiting);
+    monitor.onChange(() -> onMemberChange(agentWorker));
   }
 
   void start() {
     monitor.start();
   }
 
-  /** Takes a new image; tells when the node keeps its allowance. */
-  void update(GroupImage nextGroup, MemberImage nextMember, Allowance next, Runnable held) {
+  /** Applies a new image; runs {@code applied} once the connections are within the allowance. */
+  void update(GroupImage nextGroup, MemberImage nextMember, Allowance next, Runnable applied) {
     group = nextGroup;
     member = nextMember;
     acknowledger.update(nextGroup);
@@ -123,22 +125,24 @@
       lapsed = false;
       monitor.start();
     }
-    Runnable released = next.connections() == 0 ? () -> monitor.stop(held) : held;
+    Runnable released = next.connections() == 0 ? () -> monitor.stop(applied) : applied;
     limitPool(() -> worker.execute(released));
-    lookAgain();
+    recheckWaiting();
   }
 
   /**
-   * Gives the pool what the monitor leaves. A part of nothing closes the monitor's connection as
-   * the last one: while transactions are open, losing it would look like losing the member.
+   * Limits the pool to the allowance without the monitor's connections. With an allowance of zero
+   * the monitor's connection is closed last: while transactions are open, its loss would count as
+   * loss of the member.
    */
   private void limitPool(Runnable shrunk) {
     pool.setLimits(allowance.connections(), allowance.slots(), monitor.connections(), shrunk);
   }
 
   /**
-   * Gives up all connections until the next image, since others may get the node's part. What this
-   * node knows of the member is no news for the leader then.
+   * Closes all connections until the next image, since the controllers may assign the node's
+   * allowance to other nodes. Until then the gateway reports nothing about the member to the
+   * leader.
    */
   void lapse() {
     lapsed = true;
@@ -146,12 +150,12 @@
     allowance = new Allowance("", 0, 0);
     limitPool(() -> {});
     pool.memberLost();
-    monitor.stop(this::monitorEnded);
-    lookAgain();
+    monitor.stop(this::onMonitorStopped);
+    recheckWaiting();
   }
 
-  /** The pool may use what the monitor's former connection has held. */
-  private void monitorEnded() {
+  /** Lets the pool use the part of the allowance that the monitor's former connection has used. */
+  private void onMonitorStopped() {
     if (!lapsed) {
       pool.setReserved(monitor.connections());
     }
@@ -163,7 +167,7 @@
   }
 
   /**
-   * Returns the connections.
+   * Returns the pool of connections to the member.
    *
    * @return pool; safe from any thread
    */
@@ -172,7 +176,7 @@
   }
 
   /**
-   * Returns the status last heard.
+   * Returns the last known status of the member.
    *
    * @return status; safe from any thread
    */
@@ -180,7 +184,7 @@
     return monitor.status();
   }
 
-  /** Asks the member for its status as of now; empty when it does not answer. */
+  /** Queries the member for its current status; empty when the member does not answer. */
   void refreshStatus(Consumer<Optional<MemberStatus>> answer) {
     monitor.refresh(answer);
   }
@@ -200,14 +204,14 @@
   // ---- admission ----
 
   /**
-   * Decides whether a unit may start. A read may wait a bounded time for the member to catch up, a
-   * write for the member to become primary, or for held writes to be released.
+   * Decides whether a unit may start. A read may wait a limited time for the member to catch up,
+   * and a write for the member to become primary or for held writes to be released.
    */
   void admit(OpenStream request, Admission admission) {
     new AdmissionWait(request, admission).start();
   }
 
-  /** The same decision without waiting, for the moment before the unit is sent. */
+  /** Decides again without waiting, just before the unit is sent to the member. */
   Optional<Refusal> recheck(OpenStream request) {
     Optional<Refusal> refusal = refusalFor(request);
     if (refusal.isEmpty() && request.purpose() == Purpose.READ && !isFreshEnough(request)) {
@@ -233,7 +237,7 @@
         status.role() == MemberRole.PRIMARY
             && group.primary().equals(member.name())
             && status.term() == group.term();
-    return primary && !isHeld() ? Optional.empty() : Optional.of(Refusal.NOT_PRIMARY);
+    return primary && !areWritesHeld() ? Optional.empty() : Optional.of(Refusal.NOT_PRIMARY);
   }
 
   private boolean isFreshEnough(OpenStream request) {
@@ -241,26 +245,28 @@
         && freshness.isFresh(request.maxStalenessMillis());
   }
 
-  /** Keeps evidence coming while reads come, so that later reads need not wait for it. */
-  private void askAhead(OpenStream request) {
+  /**
+   * Requests positions at each read, so that later reads need not wait for the proof of freshness.
+   */
+  private void refreshEvidence(OpenStream request) {
     if (request.purpose() == Purpose.READ) {
-      freshness.ask(request.maxStalenessMillis());
+      freshness.startRoundIfDue(request.maxStalenessMillis());
     }
   }
 
-  /** Whether the image names this member as primary, and it is about to serve as one. */
+  /** Whether this member is about to serve as the primary that the image names. */
   private boolean isPrimarySoon() {
     return group.primary().equals(member.name()) && monitor.status().term() <= group.term();
   }
 
-  /** Lets all that wait for admission look again, since something has changed. */
-  private void lookAgain() {
-    List<AdmissionWait> due = List.copyOf(waitingForAdmission);
-    waitingForAdmission.clear();
-    due.forEach(AdmissionWait::look);
+  /** Decides again on all units that wait for admission, after a change of image or status. */
+  private void recheckWaiting() {
+    List<AdmissionWait> due = List.copyOf(admissionWaits);
+    admissionWaits.clear();
+    due.forEach(AdmissionWait::check);
   }
 
-  /** One unit until it is admitted or refused. */
+  /** A unit that has been neither admitted nor refused yet. */
   private final class AdmissionWait {
     private final OpenStream request;
     private final Admission admission;
@@ -274,10 +280,10 @@
     }
 
     void start() {
-      askAhead(request);
-      look();
+      refreshEvidence(request);
+      check();
       if (!ended) {
-        worker.schedule(Math.min(longestWaitMillis(), request.budgetMillis()), this::giveUp);
+        worker.schedule(Math.min(longestWaitMillis(), request.budgetMillis()), this::onTimeout);
       }
     }
 
@@ -292,33 +298,33 @@
       return !monitor.status().applied().reaches(request.floor());
     }
 
-    void look() {
+    void check() {
       if (ended) {
         return;
       }
       Optional<Refusal> refusal = refusalFor(request);
       if (refusal.isPresent()) {
         if (refusal.get() == Refusal.NOT_PRIMARY && isPrimarySoon()) {
-          waitingForAdmission.add(this);
+          admissionWaits.add(this);
         } else {
           refuse(refusal.get());
         }
       } else if (isRead && !isFreshEnough(request)) {
-        waitingForAdmission.add(this);
+        admissionWaits.add(this);
       } else {
         ended = true;
         admission.admitted();
       }
     }
 
-    private void giveUp() {
+    private void onTimeout() {
       if (!ended) {
-        waitingForAdmission.remove(this);
-        refuse(reasonOfWait());
+        admissionWaits.remove(this);
+        refuse(timeoutRefusal());
       }
     }
 
-    private Refusal reasonOfWait() {
+    private Refusal timeoutRefusal() {
       if (!isRead) {
         return Refusal.NOT_PRIMARY;
       }
@@ -346,13 +352,13 @@
     }
   }
 
-  private boolean isHeld() {
-    return heldTerm == group.term() && worker.now() < heldUntil;
+  private boolean areWritesHeld() {
+    return writesHeldTerm == group.term() && worker.now() < writesHeldUntil;
   }
 
   // ---- messages ----
 
-  void positionRequested(String peer, PositionRequest request) {
+  void onPositionRequest(String peer, PositionRequest request) {
     monitor.refresh(
         status ->
             network.send(
@@ -364,48 +370,50 @@
                     status.orElse(MemberStatus.UNKNOWN))));
   }
 
-  void positionReplied(PositionReply reply) {
-    freshness.replied(reply);
+  void onPositionReply(PositionReply reply) {
+    freshness.onReply(reply);
   }
 
-  void receivedAwaited(String peer, AwaitReceived request) {
+  void onAwaitReceived(String peer, AwaitReceived request) {
     receivedWatch.await(peer, request, monitor.status());
   }
 
-  void receivedReported(ReceivedReport report) {
-    acknowledger.reported(report);
+  void onReceivedReport(ReceivedReport report) {
+    acknowledger.onReport(report);
   }
 
-  void ordered(String leader, MemberOrder order, long holdMillis) {
+  void onOrder(String leader, MemberOrder order, long holdMillis) {
     switch (order.kind()) {
       case FENCE -> fence(leader, order, worker.now() + holdMillis);
-      case PROMOTE -> carryOut(leader, order, MemberStatements.promote(order.term()));
+      case PROMOTE -> executeOrder(leader, order, MemberStatements.promote(order.term()));
       case FOLLOW ->
-          carryOut(leader, order, MemberStatements.follow(order.term(), order.primary()));
+          executeOrder(leader, order, MemberStatements.follow(order.term(), order.primary()));
       case HOLD_WRITES -> hold(leader, order, holdMillis);
       case RELEASE_WRITES -> {
-        heldUntil = 0;
-        lookAgain();
+        writesHeldUntil = 0;
+        recheckWaiting();
       }
     }
   }
 
-  /** Fences the member once it has received what the order awaits; too late, it is dropped. */
+  /**
+   * Fences the member once it has received the awaited position; drops the order at the deadline.
+   */
   private void fence(String leader, MemberOrder order, long deadline) {
     if (monitor.status().received().reaches(order.awaited())) {
-      carryOut(leader, order, MemberStatements.fence(order.term()));
+      executeOrder(leader, order, MemberStatements.fence(order.term()));
     } else if (worker.now() < deadline) {
       awaitingReceipt.add(() -> fence(leader, order, deadline));
     }
   }
 
-  private void carryOut(String leader, MemberOrder order, String statement) {
+  private void executeOrder(String leader, MemberOrder order, String statement) {
     monitor.order(statement, status -> answer(leader, order, status));
   }
 
   private void hold(String leader, MemberOrder order, long holdMillis) {
-    heldTerm = order.term();
-    heldUntil = worker.now() + holdMillis;
+    writesHeldTerm = order.term();
+    writesHeldUntil = worker.now() + holdMillis;
     Consumer<Boolean> drained = any -> monitor.refresh(status -> answer(leader, order, status));
     if (openWrites == 0) {
       drained.accept(true);
@@ -424,25 +432,25 @@
             status.isPresent() ? "" : "the member refused or did not answer"));
   }
 
-  private void memberChanged(Worker agentWorker) {
+  private void onMemberChange(Worker agentWorker) {
     MemberStatus status = monitor.status();
     boolean reachable = monitor.isReachable();
     if (wasReachable && !reachable) {
       pool.memberLost();
     }
     MemberReport report = new MemberReport(group.name(), member.name(), reachable, status);
-    boolean urgent = wasReachable != reachable || isUnexpected(status);
+    boolean urgent = wasReachable != reachable || contradictsImage(status);
     wasReachable = reachable;
     agentWorker.execute(() -> agent.report(report, urgent));
-    receivedWatch.changed(status);
+    receivedWatch.onStatusChange(status);
     List<Runnable> due = List.copyOf(awaitingReceipt);
     awaitingReceipt.clear();
     due.forEach(Runnable::run);
-    lookAgain();
+    recheckWaiting();
   }
 
-  /** Whether the leader should hear at once, since it has to act on it. */
-  private boolean isUnexpected(MemberStatus status) {
+  /** Whether the status contradicts the image, so that the leader has to act on it at once. */
+  private boolean contradictsImage(MemberStatus status) {
     boolean isPrimary = group.primary().equals(member.name());
     return status.term() != group.term() || isPrimary != (status.role() == MemberRole.PRIMARY);
   }
--- a/server/src/main/java/org/streamcourse/request/gateway/NamedRequest.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/NamedRequest.java
@@ -11,12 +11,13 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * Runs a unit that its caller has named, in one transaction with a row that holds the name.
+ * Runs a unit that its caller has named, in one transaction with an inserted row that contains the
+ * name.
  *
- * <p>The row's primary key lets one of several units with the same name commit, whichever proxies
- * and primaries they came through: the row is in the same log record as what the unit wrote, so
- * after a change of primary either both are there or neither. Steps: claim the name, run the unit,
- * commit.
+ * <p>The row's primary key allows only one of several units with the same name to commit,
+ * regardless of the proxies and primaries through which they run: the row is in the same log record
+ * as the unit's writes, so after a change of primary either both exist or neither. Steps: claim the
+ * name, run the unit, commit.
  *
  * <p>All methods run on the gateway's worker.
  */
@@ -31,35 +32,35 @@
     COMMIT
   }
 
-  /** What the stream does next. */
+  /** Receives the outcome of each step. */
   interface Listener {
-    /** The name is claimed: run the unit. */
+    /** The name is claimed; the unit can run. */
     void claimed();
 
-    /** Unit and name are committed. */
+    /** The unit and its name are committed. */
     void committed();
 
-    /** Nothing of it was run, since the member is not the primary. */
+    /** Nothing of the unit was run, since the member is not the primary. */
     void notPrimary();
 
-    /** Nothing of it was run, for another reason; the connection is no longer needed. */
+    /** The transaction was rolled back; the connection is no longer needed. */
     void rolledBack();
 
-    /** The edge has got the answer to a request that was rolled back. */
+    /** The answer to a request that was rolled back has been sent to the edge. */
     void answered();
   }
 
   private final String name;
   private final MemberGateway gateway;
-  private final StreamReplies edge;
+  private final StreamReplies replies;
   private final Listener listener;
   private Step step = Step.CLAIM;
   private WireMessage error;
 
-  NamedRequest(String name, MemberGateway gateway, StreamReplies edge, Listener listener) {
+  NamedRequest(String name, MemberGateway gateway, StreamReplies replies, Listener listener) {
     this.name = name;
     this.gateway = gateway;
-    this.edge = edge;
+    this.replies = replies;
     this.listener = listener;
   }
 
@@ -80,7 +81,7 @@
     return "BEGIN; INSERT INTO " + TABLE + " (request_key) VALUES (" + literal + ")";
   }
 
-  /** Answer to a request whose name was taken: it has run before, and was not run again. */
+  /** Error message for a request whose name was claimed before; the request was not run again. */
   static byte[] alreadyRunAnswer(String name) {
     return Backend.error(
         "ERROR",
@@ -96,18 +97,18 @@
     session.send(Frontend.query("COMMIT"));
   }
 
-  /** Takes a message of the member while the name is claimed, or all is committed. */
+  /** Handles a message of the member during the claim or the commit. */
   void onMessage(WireMessage message) {
     if (message.type() == Backend.ERROR && error == null) {
       error = message;
     } else if (message.type() == Backend.READY) {
-      ended();
+      onStepEnded();
     }
   }
 
-  private void ended() {
+  private void onStepEnded() {
     if (error != null) {
-      failed(Backend.sqlState(error));
+      onStepFailed(Backend.sqlState(error));
     } else if (step == Step.CLAIM) {
       listener.claimed();
     } else {
@@ -115,36 +116,36 @@
     }
   }
 
-  private void failed(String sqlState) {
+  private void onStepFailed(String sqlState) {
     listener.rolledBack();
     if (sqlState.equals(MemberStatements.READ_ONLY)) {
       listener.notPrimary();
     } else if (step == Step.CLAIM && sqlState.equals(UNIQUE_VIOLATION)) {
-      gateway.refreshStatus(this::taken);
+      gateway.refreshStatus(this::onNameTaken);
     } else {
-      edge.output(error.bytes());
-      edge.done(Backend.STATUS_IDLE, gateway.status().applied(), false, false);
+      replies.output(error.bytes());
+      replies.done(Backend.STATUS_IDLE, gateway.status().applied(), false, false);
       listener.answered();
     }
   }
 
-  /** The first run counts once a majority has it; only then its name is told as taken. */
-  private void taken(Optional<MemberStatus> status) {
+  /** Reports the name as used only once a majority has received the commit of the first run. */
+  private void onNameTaken(Optional<MemberStatus> status) {
     if (status.isEmpty()) {
-      firstRunKept(false, TermPosition.ZERO);
+      onFirstRunChecked(false, TermPosition.ZERO);
       return;
     }
     TermPosition position = status.get().received();
     long term = status.get().term();
-    gateway.acknowledger().await(term, position, kept -> firstRunKept(kept, position));
+    gateway.acknowledger().await(term, position, received -> onFirstRunChecked(received, position));
   }
 
-  private void firstRunKept(boolean kept, TermPosition position) {
-    if (kept) {
-      edge.output(alreadyRunAnswer(name));
-      edge.done(Backend.STATUS_IDLE, position, true, false);
+  private void onFirstRunChecked(boolean received, TermPosition position) {
+    if (received) {
+      replies.output(alreadyRunAnswer(name));
+      replies.done(Backend.STATUS_IDLE, position, true, false);
     } else {
-      edge.broken("request-key", "the first run was not seen at a majority");
+      replies.broken("request-key", "the first run of the request was not confirmed at a majority");
     }
     listener.answered();
   }
--- a/server/src/main/java/org/streamcourse/request/gateway/ReceivedWatch.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/ReceivedWatch.java
@@ -9,13 +9,14 @@
 import org.streamcourse.version.control.MemberStatus;
 
 /**
- * A replica's gateway tells the primary's gateways when the replica has received what they wait
- * for. All methods run on the gateway's worker.
+ * Reports from a replica's gateway to the gateways of the primary when the replica has received the
+ * log position that they wait for. All methods run on the gateway's worker.
  */
 final class ReceivedWatch {
   private record Waiting(String peer, AwaitReceived request, long expires) {}
 
-  private static final long KEEP_MILLIS = 1_000;
+  /** Time after which a request is dropped; the primary's gateway repeats it while it waits. */
+  private static final long EXPIRY_MILLIS = 1_000;
 
   private final Worker worker;
   private final PeerNetwork network;
@@ -31,10 +32,10 @@
       report(peer, request, status);
       return;
     }
-    waiting.add(new Waiting(peer, request, worker.now() + KEEP_MILLIS));
+    waiting.add(new Waiting(peer, request, worker.now() + EXPIRY_MILLIS));
   }
 
-  void changed(MemberStatus status) {
+  void onStatusChange(MemberStatus status) {
     long now = worker.now();
     for (Waiting each : List.copyOf(waiting)) {
       if (isReceived(each.request(), status)) {
--- a/server/src/main/java/org/streamcourse/request/gateway/StreamGrant.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/StreamGrant.java
@@ -6,8 +6,8 @@
 import org.streamcourse.process.Worker;
 
 /**
- * The connection and the slot that one stream holds at a member, from their grant until they go
- * back to the pool: clean, or given up together. All methods run on the gateway's worker.
+ * The connection and the slot that one stream holds at a member. A clean connection is returned to
+ * the pool; any other is discarded together with its slot. All methods run on the gateway's worker.
  */
 final class StreamGrant {
   private final MemberPool pool;
@@ -22,7 +22,7 @@
     this.worker = worker;
   }
 
-  /** Takes a slot, and with the first one a connection, which is null later on. */
+  /** Takes a slot, and with the first one a connection; {@code grantedEntry} is null after that. */
   void granted(PoolEntry grantedEntry) {
     slotHeld = true;
     slotHeldSince = worker.now();
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Gives back at once what was granted to a stream that had ended meanwhile. */
+  /** Returns a grant that arrives after its stream has ended. */
   void decline(PoolEntry grantedEntry) {
     pool.releaseSlot(0);
     if (grantedEntry != null) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** The connection, or null before the first grant and after its return. */
+  /** Returns the connection, or null before the first grant and after its return. */
   PoolEntry entry() {
     return entry;
   }
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Gives the connection back, which is idle and clean. */
+  /** Returns the slot and the connection, which is idle and clean, to the pool. */
   void release() {
     releaseSlot();
     if (entry != null) {
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Gives the connection up; the slot goes with it, since the member may still be at work. */
+  /** Discards the connection and its slot, which stays in use while the member may still work. */
   void discard() {
     if (entry != null) {
       PoolEntry discarded = entry;
--- a/server/src/main/java/org/streamcourse/request/gateway/StreamReplies.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/StreamReplies.java
@@ -8,14 +8,14 @@
 import org.streamcourse.request.StreamMessage.UnitDone;
 import org.streamcourse.version.image.TermPosition;
 
-/** What a gateway sends to the edge of one stream. */
+/** Sends the replies of one stream to its edge, and tracks the stream's send window. */
 final class StreamReplies {
   private final PeerNetwork network;
   private final String edge;
   private final long streamId;
   private int window;
   private int parts;
-  private boolean silent;
+  private boolean failuresSuppressed;
 
   StreamReplies(PeerNetwork network, String edge, long streamId, int window) {
     this.network = network;
@@ -24,9 +24,9 @@
     this.window = window;
   }
 
-  /** Sends nothing about refusals and breaks any more, since the edge has given the stream up. */
-  void silence() {
-    silent = true;
+  /** Suppresses refusals and breaks from now on; called when the edge has abandoned the stream. */
+  void suppressFailures() {
+    failuresSuppressed = true;
   }
 
   void output(byte[] messages) {
@@ -39,7 +39,7 @@
     window += bytes;
   }
 
-  /** Whether the caller has not taken enough yet for more of the answer to be sent. */
+  /** Whether no more of the answer may be sent until the caller has read some of it. */
   boolean isWindowFull() {
     return window <= 0;
   }
@@ -49,13 +49,13 @@
   }
 
   void refused(Refusal refusal, TermPosition applied, long retryAfterMillis) {
-    if (!silent) {
+    if (!failuresSuppressed) {
       network.send(edge, new Refused(streamId, refusal, applied, retryAfterMillis));
     }
   }
 
   void broken(String step, String detail) {
-    if (!silent) {
+    if (!failuresSuppressed) {
       network.send(edge, new Broken(streamId, step, detail));
     }
   }
--- a/server/src/main/java/org/streamcourse/request/gateway/StreamState.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/StreamState.java
@@ -1,26 +1,26 @@
 package org.streamcourse.request.gateway;
 
-/** What a gateway's stream is waiting for. */
+/** State of a gateway's stream, which names what the stream waits for. */
 enum StreamState {
-  /** Admission, or a connection with a slot. */
+  /** Waits for admission, or for a connection with a slot. */
   ADMITTING,
-  /** The session's parameters to be set on the connection. */
+  /** Waits until the session's parameters are set on the connection. */
   PREPARING,
-  /** The claim of a request's name, or the commit of a named request. */
+  /** Waits for the claim of a request's name, or for the commit of a named request. */
   NAMING,
-  /** The answer of the unit. */
+  /** Waits for the answer to the unit. */
   RUNNING,
-  /** A majority to have received a commit. */
+  /** Waits until a majority has received a commit. */
   ACKNOWLEDGING,
-  /** The next unit of an open transaction. */
+  /** Waits for the next unit of an open transaction. */
   OPEN,
-  /** The reset of a connection on which state was left. */
+  /** Waits for the reset of a connection on which the session left state behind. */
   RESETTING,
-  /** Nothing more. */
+  /** The stream has ended. */
   CLOSED;
 
-  /** Whether the member may be at work on what the stream's connection carries. */
-  boolean isMemberAtWork() {
+  /** Whether the member may be running statements on the stream's connection. */
+  boolean isMemberWorking() {
     return this == PREPARING || this == NAMING || this == RUNNING;
   }
 }
--- a/server/src/main/java/org/streamcourse/request/gateway/package-info.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** A gateway's part of a request: admission, freshness, running it, acknowledgment by majority. */
+/** The gateway's side of a request: admission, freshness, execution, acknowledgment by majority. */
 package org.streamcourse.request.gateway;
--- a/server/src/test/java/org/streamcourse/request/gateway/GatewayStreamTest.java
+++ b/server/src/test/java/org/streamcourse/request/gateway/GatewayStreamTest.java
@@ -41,7 +41,7 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** Streams at a gateway whose member has a single slot. */
+/** Streams through a gateway whose member has one slot. */
 public class GatewayStreamTest {
   private static final String GROUP = "bookings";
   private static final String EDGE = "p2";
@@ -144,7 +144,7 @@
   }
 
   @Test
-  public void transactionLostWhileItWaitsForASlotLeavesTheSlotToOthers() {
+  public void aTransactionLostWhileWaitingForASlotReturnsTheSlot() {
     open(1, "BEGIN");
     FakeMember.Session transaction = sessionWith("BEGIN");
     transaction.complete("BEGIN", Backend.STATUS_IN_TRANSACTION);
@@ -159,20 +159,25 @@
     sessionWith("UPDATE second").complete("UPDATE 1", Backend.STATUS_IDLE);
     settle();
     open(3, "UPDATE third");
-    assertEquals(sessionWith("UPDATE third").sent().size(), 2, "it runs on a pooled connection");
+    assertEquals(
+        sessionWith("UPDATE third").sent().size(),
+        2,
+        "the third update runs on a pooled connection");
   }
 
   /**
-   * The gateway may hear late that a link to the edge broke, after the edge has heard it and opened
-   * the next stream. The edge can't know that the stream was given up unless it is told.
+   * The gateway may detect the end of a peer link later than the edge, after the edge has opened
+   * its next stream on a newer link. Without a {@code Broken} message the edge would wait for a
+   * stream that the gateway has abandoned.
    */
   @Test
-  public void anEdgeIsToldOfAStreamThatIsGivenUpForTheEndOfALink() {
+  public void aStreamAbandonedAtTheEndOfALinkIsReportedToItsEdge() {
     open(1, "INSERT late word");
     gateways.linkLost(EDGE);
     settle();
     assertEquals(gateways.openStreams(), 0);
     assertTrue(
-        toEdge.stream().anyMatch(each -> each instanceof Broken), "told to the edge: " + toEdge);
+        toEdge.stream().anyMatch(each -> each instanceof Broken),
+        "messages to the edge: " + toEdge);
   }
 }
