--- a/server/src/main/java/org/streamcourse/request/StreamTypes.java
+++ b/server/src/main/java/org/streamcourse/request/StreamTypes.java
@@ -8,7 +8,7 @@
 import org.streamcourse.request.quota.QuotaTypes;
 import org.streamcourse.version.control.ControlTypes;
 
-/** Lists all types that processes of the fleet exchange. */
+/** Lists the types of all messages between the processes of the fleet. */
 public final class StreamTypes {
   private static final List<Class<?>> OWN =
       List.of(
@@ -34,7 +34,7 @@
   private StreamTypes() {}
 
   /**
-   * Creates the codec for everything that is sent or stored.
+   * Creates the codec for all types that are sent between processes or stored on disk.
    *
    * @return codec
    */
--- a/server/src/main/java/org/streamcourse/request/package-info.java
+++ b/server/src/main/java/org/streamcourse/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What lives as long as a request: its classification, its way to a member, its limits, retries and
+ * The handling of a request: its classification, its route to a member, its limits, retries and
  * outcome.
  */
 package org.streamcourse.request;
