--- a/server/src/main/java/org/streamcourse/request/edge/MemberScores.java
+++ b/server/src/main/java/org/streamcourse/request/edge/MemberScores.java
@@ -57,7 +57,7 @@
     return behind && recent ? cost + BEHIND_COST_MILLIS : cost;
   }
 
-  void answered(
+  void recordAnswer(
       String group, MemberImage member, long latencyMillis, TermPosition applied, long now) {
     scores.compute(
         key(group, member.name()),
@@ -69,7 +69,7 @@
         });
   }
 
-  void behind(String group, MemberImage member, TermPosition applied, long now) {
+  void recordBehind(String group, MemberImage member, TermPosition applied, long now) {
     scores.compute(
         key(group, member.name()),
         (key, old) -> {
@@ -79,7 +79,7 @@
         });
   }
 
-  void failed(String group, MemberImage member, long now) {
+  void recordFailure(String group, MemberImage member, long now) {
     scores.compute(
         key(group, member.name()),
         (key, old) -> {
--- a/server/src/main/java/org/streamcourse/request/edge/RequestExecutor.java
+++ b/server/src/main/java/org/streamcourse/request/edge/RequestExecutor.java
@@ -127,7 +127,7 @@
   /**
    * Allows the gateway to send more of the answer.
    *
-   * @param bytes bytes that the caller has taken
+   * @param bytes bytes that the caller has read
    */
   public void credit(int bytes) {
     if (current != null && (active || pinned)) {
@@ -351,7 +351,7 @@
     pinned = done.open();
     if (request.purpose() == Purpose.READ && !pinned) {
       edge.scores()
-          .answered(
+          .recordAnswer(
               request.group(), current.member(), now() - attemptStartedAt, done.position(), now());
       edge.countRead(current.member().name(), request.group());
     }
@@ -374,11 +374,11 @@
         }
       }
       case BEHIND_FLOOR, NOT_FRESH -> {
-        edge.scores().behind(request.group(), current.member(), refused.applied(), now());
+        edge.scores().recordBehind(request.group(), current.member(), refused.applied(), now());
         skipMember();
       }
       case UNREACHABLE -> {
-        edge.scores().failed(request.group(), current.member(), now());
+        edge.scores().recordFailure(request.group(), current.member(), now());
         skipMember();
       }
       default -> {
@@ -417,7 +417,7 @@
       fail(ErrorCode.READ_INTERRUPTED, step, current.gateway(), "transaction lost: " + detail, 0);
       return;
     }
-    edge.scores().failed(request.group(), current.member(), now());
+    edge.scores().recordFailure(request.group(), current.member(), now());
     boolean inTime = breaks < MAX_READ_BREAKS && now() < deadline;
     if (repeatable && inTime && edge.retryBudget().tryRetry()) {
       breaks++;
@@ -438,7 +438,7 @@
     }
     recordAttempt("link", "the request was not delivered to the gateway", TermPosition.ZERO);
     edge.closeStream(streamId);
-    edge.scores().failed(request.group(), current.member(), now());
+    edge.scores().recordFailure(request.group(), current.member(), now());
     attempt();
   }
 
--- a/server/src/main/java/org/streamcourse/request/edge/RetryBudget.java
+++ b/server/src/main/java/org/streamcourse/request/edge/RetryBudget.java
@@ -4,22 +4,22 @@
 
 /**
  * Limits the share of retries among an edge's attempts, so that retries don't multiply the load on
- * failing or overloaded members. Each request earns a fraction of a retry; a reserve covers a short
- * burst, such as the failure of a gateway. Safe from any thread.
+ * failing or overloaded members. Each request earns a credit, and each retry costs several; a
+ * reserve covers a short burst, such as the failure of a gateway. Safe from any thread.
  */
 public final class RetryBudget {
-  /** Fractions that make one retry: ten requests earn one retry. */
-  private static final long PARTS_PER_RETRY = 10;
+  /** Credits that one retry costs: ten requests earn one retry. */
+  private static final long CREDITS_PER_RETRY = 10;
 
   private static final long RESERVED_RETRIES = 100;
-  private static final long MAX_PARTS = RESERVED_RETRIES * PARTS_PER_RETRY;
+  private static final long MAX_CREDITS = RESERVED_RETRIES * CREDITS_PER_RETRY;
 
-  private final AtomicLong parts = new AtomicLong(MAX_PARTS);
+  private final AtomicLong credits = new AtomicLong(MAX_CREDITS);
   private final AtomicLong denied = new AtomicLong();
 
-  /** Adds the fraction of a retry that a request earns. */
+  /** Adds the credit that a request earns. */
   void requestStarted() {
-    parts.updateAndGet(balance -> Math.min(MAX_PARTS, balance + 1));
+    credits.updateAndGet(balance -> Math.min(MAX_CREDITS, balance + 1));
   }
 
   /**
@@ -30,9 +30,9 @@
    */
   boolean tryRetry() {
     long before =
-        parts.getAndUpdate(
-            balance -> balance >= PARTS_PER_RETRY ? balance - PARTS_PER_RETRY : balance);
-    if (before < PARTS_PER_RETRY) {
+        credits.getAndUpdate(
+            balance -> balance >= CREDITS_PER_RETRY ? balance - CREDITS_PER_RETRY : balance);
+    if (before < CREDITS_PER_RETRY) {
       denied.incrementAndGet();
       return false;
     }
--- a/server/src/main/java/org/streamcourse/request/gateway/GatewayNode.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/GatewayNode.java
@@ -203,8 +203,8 @@
     previousImage = image;
     for (String key : List.copyOf(gateways.keySet())) {
       if (!wanted.contains(key)) {
-        MemberGateway gone = gateways.remove(key);
-        gone.worker().execute(gone::stop);
+        MemberGateway removed = gateways.remove(key);
+        removed.worker().execute(removed::stop);
         withdrawReport(key);
       }
     }
--- a/server/src/main/java/org/streamcourse/request/gateway/MemberGateway.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/MemberGateway.java
@@ -56,7 +56,7 @@
   private final List<AdmissionWait> admissionWaits = new ArrayList<>();
   private final FreshnessTracker freshness;
 
-  /** Orders to hold writes that wait until the open writes have ended. */
+  /** HOLD_WRITES orders that are answered once the open writes have ended. */
   private final List<Consumer<Boolean>> awaitingDrain = new ArrayList<>();
 
   /** Fence orders that wait until the member has received the log position that they name. */
@@ -388,7 +388,7 @@
       case PROMOTE -> executeOrder(leader, order, MemberStatements.promote(order.term()));
       case FOLLOW ->
           executeOrder(leader, order, MemberStatements.follow(order.term(), order.primary()));
-      case HOLD_WRITES -> hold(leader, order, holdMillis);
+      case HOLD_WRITES -> holdWrites(leader, order, holdMillis);
       case RELEASE_WRITES -> {
         writesHeldUntil = 0;
         recheckWaiting();
@@ -408,13 +408,14 @@
   }
 
   private void executeOrder(String leader, MemberOrder order, String statement) {
-    monitor.order(statement, status -> answer(leader, order, status));
+    monitor.order(statement, status -> sendOrderResult(leader, order, status));
   }
 
-  private void hold(String leader, MemberOrder order, long holdMillis) {
+  private void holdWrites(String leader, MemberOrder order, long holdMillis) {
     writesHeldTerm = order.term();
     writesHeldUntil = worker.now() + holdMillis;
-    Consumer<Boolean> drained = any -> monitor.refresh(status -> answer(leader, order, status));
+    Consumer<Boolean> drained =
+        any -> monitor.refresh(status -> sendOrderResult(leader, order, status));
     if (openWrites == 0) {
       drained.accept(true);
     } else {
@@ -422,7 +423,7 @@
     }
   }
 
-  private void answer(String leader, MemberOrder order, Optional<MemberStatus> status) {
+  private void sendOrderResult(String leader, MemberOrder order, Optional<MemberStatus> status) {
     network.send(
         leader,
         new MemberOrderResult(
--- a/server/src/main/java/org/streamcourse/request/gateway/StreamGrant.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/StreamGrant.java
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Discards the connection and its slot, which stays in use while the member may still work. */
+  /** Discards the connection; the slot stays taken until the member has ended the connection. */
   void discard() {
     if (entry != null) {
       PoolEntry discarded = entry;
