--- a/server/src/test/java/org/streamcourse/request/edge/FloorTokenTest.java
+++ b/server/src/test/java/org/streamcourse/request/edge/FloorTokenTest.java
@@ -22,8 +22,7 @@
   @Test
   public void refusesEveryDamagedCharacter() {
     String token = FloorToken.write(KEY, "bookings", FLOOR);
-    // The last character of an unpadded part may hold unused bits, so changing it may have no
-    // effect.
+    // Skips the last character of each part: it may hold unused bits, which decoding ignores.
     for (int i = 0; i < token.length() - 1; i++) {
       char other = token.charAt(i) == 'A' ? 'B' : 'A';
       String damaged = token.substring(0, i) + other + token.substring(i + 1);
