--- a/server/src/main/java/org/streamcourse/process/explain/RequestExplainer.java
+++ b/server/src/main/java/org/streamcourse/process/explain/RequestExplainer.java
@@ -41,7 +41,15 @@
 
   /** Begins of messages about who leads the controllers. */
   private static final List<String> LEADERSHIP =
-      List.of("leads term", "no longer leads", "steps down", "changes voters");
+      List.of(
+          "became leader",
+          "lost leadership",
+          "resigned leadership",
+          "proposing voters",
+          "leads term",
+          "no longer leads",
+          "steps down",
+          "changes voters");
 
   private static final Set<String> TOLD_APART =
       Set.of(
--- a/server/src/main/java/org/streamcourse/version/agreement/AgreementMessage.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/AgreementMessage.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Messages between controllers; each names its sender's identity and term. */
+/** Messages between controllers; each contains the sender's identity and term. */
 public sealed interface AgreementMessage {
   /**
    * Returns the sender.
@@ -19,7 +19,7 @@
   long term();
 
   /**
-   * Tells whether the message's term is only asked about and not yet begun.
+   * Returns whether the message's term is only a proposed one that no controller has entered.
    *
    * @return true for a granted pre-vote
    */
@@ -28,35 +28,35 @@
   }
 
   /**
-   * Asks for a vote.
+   * Requests a vote.
    *
    * @param from candidate
-   * @param term term that the candidate stands for
-   * @param lastIndex index of its last entry
-   * @param lastTerm term of its last entry
-   * @param preVote true when it only asks whether it could win
+   * @param term term for which the candidate wants to be elected
+   * @param lastIndex index of the candidate's last entry
+   * @param lastTerm term of the candidate's last entry
+   * @param preVote true when the request only checks whether the candidate could win
    */
   record VoteRequest(String from, long term, long lastIndex, long lastTerm, boolean preVote)
       implements AgreementMessage {}
 
   /**
-   * Answers a {@link VoteRequest}.
+   * Response to a {@link VoteRequest}.
    *
    * @param from voter
    * @param term voter's term
-   * @param requestTerm term that was asked for
-   * @param granted whether the vote was given
+   * @param requestTerm term of the request
+   * @param granted whether the vote was granted
    * @param preVote copied from the request
    */
   record VoteResponse(String from, long term, long requestTerm, boolean granted, boolean preVote)
       implements AgreementMessage {}
 
   /**
-   * Carries entries, the commit index and a leader's sign of life.
+   * Sends log entries and the commit index; serves as the leader's heartbeat.
    *
    * @param from leader
    * @param term leader's term
-   * @param previousIndex index before the first entry
+   * @param previousIndex index of the entry before the first one sent
    * @param previousTerm term of the entry at previousIndex
    * @param entries entries to append, possibly none
    * @param commitIndex leader's commit index
@@ -73,19 +73,19 @@
       implements AgreementMessage {}
 
   /**
-   * Answers an {@link AppendRequest} or {@link SnapshotRequest}.
+   * Response to an {@link AppendRequest} or {@link SnapshotRequest}.
    *
    * @param from follower
    * @param term follower's term
-   * @param success whether the log matched
-   * @param matchIndex last index known to match; on failure the index to try before
+   * @param success whether the follower's log matched
+   * @param matchIndex last index known to match; on failure the last index that may match
    * @param round copied from the request
    */
   record AppendResponse(String from, long term, boolean success, long matchIndex, long round)
       implements AgreementMessage {}
 
   /**
-   * Replaces a follower's log by a snapshot.
+   * Sends a snapshot that replaces a follower's log.
    *
    * @param from leader
    * @param term leader's term
@@ -96,10 +96,10 @@
       implements AgreementMessage {}
 
   /**
-   * A controller with a new identity asks to be admitted as a learner.
+   * Requests that a controller with a new identity is added as a learner.
    *
    * @param from new identity
-   * @param term always 0: the sender takes no part yet
+   * @param term always 0, since the sender is neither voter nor learner yet
    */
   record JoinRequest(String from, long term) implements AgreementMessage {}
 }
--- a/server/src/main/java/org/streamcourse/version/agreement/AgreementNetwork.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/AgreementNetwork.java
@@ -1,13 +1,13 @@
 package org.streamcourse.version.agreement;
 
-/** Sends messages between controllers; a message may be lost, late, doubled or overtaken. */
+/** Sends messages between controllers; messages may be lost, delayed, duplicated or reordered. */
 @FunctionalInterface
 public interface AgreementNetwork {
   /**
    * Sends a message.
    *
    * @param toIdentity receiver's identity
-   * @param message what to send
+   * @param message message to send
    */
   void send(String toIdentity, AgreementMessage message);
 }
--- a/server/src/main/java/org/streamcourse/version/agreement/AgreementNode.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/AgreementNode.java
@@ -17,18 +17,18 @@
 import reactor.core.Disposable;
 
 /**
- * One controller's part in the replicated log, after the Raft protocol.
+ * A controller's replica of the Raft log: elections, replication, commit and voter changes.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>A term has at most one leader: a vote is durable before it is sent.
- *   <li>An entry counts for a controller only once it is synced there; it is committed once a
- *       majority of the voters has it and it, or a later one, is of the leader's own term.
+ *   <li>A term has at most one leader: a vote is synced to disk before it is sent.
+ *   <li>A controller acknowledges an entry only after syncing it. An entry is committed once a
+ *       majority of the voters has synced it and it, or a later one, is of the leader's own term.
  *   <li>Voters change one at a time, never while an earlier change is uncommitted.
- *   <li>A pre-vote precedes each election, so a controller that was cut off does not disturb a
- *       working leader on its return. A leader that has not heard a majority for an election
- *       timeout steps down.
+ *   <li>A pre-vote precedes each election, so that a controller returning from a network partition
+ *       does not disrupt a working leader. A leader without responses from a majority of the voters
+ *       for an election timeout steps down.
  * </ul>
  *
  * All methods run on the controller's worker.
@@ -39,7 +39,7 @@
   private final Worker worker;
   private final AgreementNetwork network;
   private final RecordLog log;
-  private final StateMachine machine;
+  private final StateMachine stateMachine;
   private final AgreementSettings settings;
   private final AppliedState applied;
   private final EntrySender sender;
@@ -48,46 +48,46 @@
   private long lastLeaderContact;
   private final ElectionTimer electionTimer;
   private Disposable heartbeatTimer = () -> {};
-  private final SoonRound soonRound;
+  private final ExpeditedRound expeditedRound;
   private boolean stopped;
 
   /**
    * Creates a node over an opened log that holds an identity.
    *
    * @param worker worker on which all methods run
-   * @param network way to the other controllers
+   * @param network sends messages to the other controllers
    * @param log durable log
-   * @param machine receives committed commands
-   * @param settings timing
+   * @param stateMachine receives committed commands
+   * @param settings timing and limits
    * @param random source of election timeouts
    */
   public AgreementNode(
       Worker worker,
       AgreementNetwork network,
       RecordLog log,
-      StateMachine machine,
+      StateMachine stateMachine,
       AgreementSettings settings,
       RandomGenerator random) {
     this.worker = worker;
     this.network = network;
     this.log = log;
-    this.machine = machine;
+    this.stateMachine = stateMachine;
     this.settings = settings;
     this.electionTimer = new ElectionTimer(worker, settings, random, this::onElectionTimeout);
-    this.applied = new AppliedState(log, machine, settings.snapshotEvery());
-    this.soonRound = new SoonRound(worker, this::startRoundSoon);
-    this.proposals = new ProposalBatch(worker, this::appendProposed);
+    this.applied = new AppliedState(log, stateMachine, settings.snapshotEvery());
+    this.expeditedRound = new ExpeditedRound(worker, this::startExpeditedRound);
+    this.proposals = new ProposalBatch(worker, this::appendProposals);
     this.sender = new EntrySender(log, network, settings.entriesPerAppend());
   }
 
-  /** Restores the state machine and starts taking part. */
+  /** Restores the state machine and starts the election timer. */
   public void start() {
     applied.restore();
     lastLeaderContact = worker.now() - settings.electionTimeoutMillis();
-    electionTimer.startFirst();
+    electionTimer.startInitial();
   }
 
-  /** Stops all timers; the node neither sends nor answers any more. */
+  /** Stops all timers; the node ignores all messages from then on. */
   public void stop() {
     stopped = true;
     electionTimer.stop();
@@ -104,9 +104,10 @@
   }
 
   /**
-   * Tells whether this controller leads and knows all that earlier leaders committed.
+   * Returns whether this controller is the leader and has applied all entries that earlier leaders
+   * committed.
    *
-   * @return true for a leader that can serve
+   * @return true for a leader that can serve requests
    */
   public boolean isLeader() {
     return role instanceof LeaderState leader && leader.isAnnounced();
@@ -115,7 +116,7 @@
   /**
    * Returns the current leader.
    *
-   * @return its identity if known
+   * @return leader's identity, if known
    */
   public Optional<String> leader() {
     if (role instanceof LeaderState) {
@@ -127,7 +128,7 @@
   }
 
   /**
-   * Returns the term.
+   * Returns the current term.
    *
    * @return highest term seen
    */
@@ -145,9 +146,9 @@
   }
 
   /**
-   * Returns the voter set that is agreed on. It is what others are told: who waits until a
-   * controller that lost its disk votes again may take the next machine from then on, and a change
-   * of voters that only the leader has would be lost with it.
+   * Returns the committed voter set, which is the one shown to operators. An operator who waits
+   * until a controller that lost its disk is a voter again may stop the next controller from then
+   * on; an uncommitted change that only the leader has would be lost together with the leader.
    *
    * @return voters and learners
    */
@@ -155,15 +156,15 @@
     return log.votersAt(applied.commitIndex());
   }
 
-  /** The voter set by which this controller counts: the newest in the log, committed or not. */
-  private VoterSet votersInForce() {
+  /** Returns the newest voter set in the log, committed or not: majorities are counted by it. */
+  private VoterSet latestVoters() {
     return log.voters();
   }
 
   /**
    * Appends a command to the log; it takes effect when it is applied. Commands that are proposed
-   * within one turn of the worker share one synced write. A command is lost without a word when the
-   * leadership ends before.
+   * within one task of the worker share one synced write. If leadership ends before the command is
+   * committed, the command may be lost; the caller gets no notification.
    *
    * @param command encoded command
    */
@@ -175,32 +176,31 @@
     proposals.add(command);
   }
 
-  private void appendProposed(List<byte[]> commands) {
+  private void appendProposals(List<byte[]> commands) {
     if (isLeader() && !stopped) {
-      appendOwn(LogEntry.Kind.COMMAND, commands);
+      appendAsLeader(LogEntry.Kind.COMMAND, commands);
     }
   }
 
   /**
-   * Runs a task once a majority has confirmed, after this call, that this controller still leads.
-   * The task is dropped when the leadership ends before.
+   * Runs a task once a majority of the voters has confirmed, in a round that starts after this
+   * call, that this controller still leads. The task is dropped if leadership ends first.
    *
    * @param task what to run
-   * @param soon whether it gets a round of its own, shared with all such tasks of a short while, in
-   *     place of the next heartbeat's
+   * @param expedite true to start a round before the next heartbeat; see {@link ExpeditedRound}
    */
-  public void whenLeadershipConfirmed(Runnable task, boolean soon) {
+  public void whenLeadershipConfirmed(Runnable task, boolean expedite) {
     if (role instanceof LeaderState leader && leader.isAnnounced()) {
-      leader.waitForNextRound(task);
-      if (votersInForce().voters().size() == 1) {
+      leader.addAfterNextRound(task);
+      if (latestVoters().voters().size() == 1) {
         startRound(leader);
-      } else if (soon) {
-        soonRound.request();
+      } else if (expedite) {
+        expeditedRound.request();
       }
     }
   }
 
-  private void startRoundSoon() {
+  private void startExpeditedRound() {
     if (!stopped && role instanceof LeaderState leader) {
       startRound(leader);
     }
@@ -209,7 +209,7 @@
   /**
    * Handles a message from another controller.
    *
-   * @param message what arrived
+   * @param message received message
    */
   public void receive(AgreementMessage message) {
     if (stopped) {
@@ -243,10 +243,10 @@
     if (stopped || role instanceof LeaderState) {
       return;
     }
-    if (votersInForce().voters().contains(identity())) {
+    if (latestVoters().voters().contains(identity())) {
       campaign(true);
     }
-    electionTimer.startNextTry();
+    electionTimer.startRetry();
   }
 
   private void campaign(boolean preVote) {
@@ -258,7 +258,7 @@
     role = candidate;
     VoteRequest request =
         new VoteRequest(identity(), requestedTerm, log.lastIndex(), log.lastTerm(), preVote);
-    for (String voter : votersInForce().voters()) {
+    for (String voter : latestVoters().voters()) {
       if (!voter.equals(identity())) {
         network.send(voter, request);
       }
@@ -267,7 +267,7 @@
   }
 
   private void onVoteRequest(VoteRequest request) {
-    if (hearsLeader()) {
+    if (hasActiveLeader()) {
       return;
     }
     if (!request.preVote() && request.term() > term()) {
@@ -291,7 +291,7 @@
     return log.quorumState().mayVote(request.term(), request.from());
   }
 
-  private boolean hearsLeader() {
+  private boolean hasActiveLeader() {
     return role instanceof LeaderState
         || worker.now() - lastLeaderContact < settings.electionTimeoutMillis();
   }
@@ -306,7 +306,7 @@
   }
 
   private void countVote(CandidateState candidate, String voter) {
-    if (!candidate.grant(voter, votersInForce())) {
+    if (!candidate.addVote(voter, latestVoters())) {
       return;
     }
     if (candidate.isPreVote()) {
@@ -317,48 +317,48 @@
   }
 
   private void becomeLeader() {
-    LOG.info("leads term {} as {}", term(), identity());
+    LOG.info("became leader of term {} as {}", term(), identity());
     electionTimer.stop();
-    electionTimer.leaderHeard();
+    electionTimer.leaderSeen();
     LeaderState leader = new LeaderState(log.lastIndex() + 1);
     role = leader;
-    leader.follow(votersInForce().all(), identity(), worker.now());
-    appendOwn(LogEntry.Kind.NO_OP, List.of(new byte[0]));
+    leader.track(latestVoters().all(), identity(), worker.now());
+    appendAsLeader(LogEntry.Kind.NO_OP, List.of(new byte[0]));
     heartbeatTimer = worker.repeat(settings.heartbeatMillis(), this::onHeartbeat);
   }
 
   private void becomeFollower(long newTerm, String leaderIdentity) {
-    boolean led = role instanceof LeaderState leader && leader.isAnnounced();
+    boolean wasLeader = role instanceof LeaderState leader && leader.isAnnounced();
     heartbeatTimer.dispose();
     if (newTerm > term()) {
       log.saveQuorumState(new QuorumState(identity(), newTerm, ""));
     }
     FollowerState follower = new FollowerState();
-    follower.follow(leaderIdentity);
+    follower.setLeader(leaderIdentity);
     role = follower;
     electionTimer.restart();
-    if (led) {
-      LOG.info("no longer leads; term is {}", term());
-      machine.leadershipEnded();
+    if (wasLeader) {
+      LOG.info("lost leadership: is now a follower in term {}", term());
+      stateMachine.leadershipEnded();
     }
   }
 
-  // ---- leading ----
+  // ---- leader ----
 
   private void onHeartbeat() {
     if (!(role instanceof LeaderState leader)) {
       return;
     }
-    long silence =
-        worker.now() - leader.majorityHeardMillis(votersInForce(), identity(), worker.now());
-    if (silence > settings.electionTimeoutMillis()) {
-      LOG.warn("steps down: no majority heard for {} ms", silence);
+    long elapsed =
+        worker.now() - leader.majorityResponseMillis(latestVoters(), identity(), worker.now());
+    if (elapsed > settings.electionTimeoutMillis()) {
+      LOG.warn("resigned leadership: no majority responded for {} ms", elapsed);
       becomeFollower(term(), null);
       return;
     }
     startRound(leader);
     if (leader.isAnnounced()) {
-      VoterChanges.next(log, votersInForce(), applied.commitIndex(), leader, worker.now(), settings)
+      VoterChanges.next(log, latestVoters(), applied.commitIndex(), leader, worker.now(), settings)
           .ifPresent(this::proposeVoters);
     }
   }
@@ -366,10 +366,10 @@
   private void startRound(LeaderState leader) {
     leader.startRound();
     sendToAll(leader);
-    runConfirmed(leader);
+    runConfirmedTasks(leader);
   }
 
-  private void appendOwn(LogEntry.Kind kind, List<byte[]> payloads) {
+  private void appendAsLeader(LogEntry.Kind kind, List<byte[]> payloads) {
     LeaderState leader = (LeaderState) role;
     log.appendNew(term(), kind, payloads);
     sendToAll(leader);
@@ -377,7 +377,7 @@
   }
 
   private void sendToAll(LeaderState leader) {
-    for (String identity : votersInForce().all()) {
+    for (String identity : latestVoters().all()) {
       if (!identity.equals(identity())) {
         sendEntries(leader, identity);
       }
@@ -395,66 +395,66 @@
     }
     LeaderState.Progress progress =
         leader.progressOf(response.from(), log.lastIndex(), worker.now());
-    progress.lastHeardMillis = worker.now();
-    progress.ackedRound = Math.max(progress.ackedRound, response.round());
+    progress.lastResponseMillis = worker.now();
+    progress.acknowledgedRound = Math.max(progress.acknowledgedRound, response.round());
     if (response.success()) {
-      progress.matched(response.matchIndex());
+      progress.acknowledged(response.matchIndex());
       advanceCommit(leader);
       if (role == leader && progress.nextIndex <= log.lastIndex()) {
         sendEntries(leader, response.from());
       }
-    } else if (progress.denied(response.matchIndex(), response.round(), leader.round())) {
+    } else if (progress.rejected(response.matchIndex(), response.round(), leader.round())) {
       sendEntries(leader, response.from());
     }
     if (role == leader) {
-      runConfirmed(leader);
+      runConfirmedTasks(leader);
     }
   }
 
   private void advanceCommit(LeaderState leader) {
-    long index = leader.majorityMatch(votersInForce(), identity(), log.lastIndex());
+    long index = leader.majorityMatchIndex(latestVoters(), identity(), log.lastIndex());
     if (index > applied.commitIndex() && log.termAt(index) == term()) {
       applied.commitTo(index);
     }
     if (applied.commitIndex() >= leader.termStartIndex() && role == leader && leader.announce()) {
-      machine.leadershipStarted(term());
+      stateMachine.leadershipStarted(term());
     }
   }
 
-  private void runConfirmed(LeaderState leader) {
-    leader.confirmedTasks(votersInForce(), identity()).forEach(Runnable::run);
+  private void runConfirmedTasks(LeaderState leader) {
+    leader.takeConfirmedTasks(latestVoters(), identity()).forEach(Runnable::run);
   }
 
   // ---- membership ----
 
   private void onJoinRequest(JoinRequest request) {
-    if (role instanceof LeaderState leader && !votersInForce().all().contains(request.from())) {
-      leader.requestJoin(request.from());
+    if (role instanceof LeaderState leader && !latestVoters().all().contains(request.from())) {
+      leader.addJoinRequest(request.from());
     }
   }
 
   /**
-   * Changes the voters. Between the steps of a replacement there is one voter fewer, and the loss
-   * of a leader that alone has the next step would leave no majority for good. So a change goes out
-   * with all that its receivers have not acknowledged: each can take it in by itself, and needs
-   * nothing more from the leader. Such changes are few.
+   * Proposes a voter set. Between the two steps of a replacement there is one voter fewer, and
+   * losing a leader that alone has the second step would leave the voters without a majority for
+   * good. The change is therefore sent with all unacknowledged entries, so that a receiver can
+   * append it without another message from the leader. Voter changes are rare.
    */
   private void proposeVoters(VoterSet next) {
-    LOG.info("changes voters to {} with learners {}", next.voters(), next.learners());
-    ((LeaderState) role).sendUnacknowledgedAgain();
-    appendOwn(LogEntry.Kind.VOTERS, List.of(VoterSetCodec.encode(next)));
+    LOG.info("proposing voters {} with learners {}", next.voters(), next.learners());
+    ((LeaderState) role).rewindToAcknowledged();
+    appendAsLeader(LogEntry.Kind.VOTERS, List.of(VoterSetCodec.encode(next)));
   }
 
-  // ---- following ----
+  // ---- follower ----
 
   private void onAppendRequest(AppendRequest request) {
     if (request.term() < term()) {
-      answer(request.from(), false, log.lastIndex(), request.round());
+      respond(request.from(), false, log.lastIndex(), request.round());
       return;
     }
     acceptLeader(request.from());
     if (request.previousIndex() < log.snapshotIndex()) {
-      answer(
+      respond(
           request.from(),
           true,
           Math.min(log.snapshotIndex(), applied.commitIndex()),
@@ -462,39 +462,39 @@
       return;
     }
     if (log.termAt(request.previousIndex()) != request.previousTerm()) {
-      long tryBefore = Math.min(request.previousIndex() - 1, log.lastIndex());
-      answer(request.from(), false, tryBefore, request.round());
+      long retryBefore = Math.min(request.previousIndex() - 1, log.lastIndex());
+      respond(request.from(), false, retryBefore, request.round());
       return;
     }
     log.appendMissing(request.entries());
     long matched = request.previousIndex() + request.entries().size();
-    answer(request.from(), true, matched, request.round());
+    respond(request.from(), true, matched, request.round());
     applied.commitTo(Math.min(request.commitIndex(), matched));
   }
 
   private void onSnapshotRequest(SnapshotRequest request) {
     if (request.term() < term()) {
-      answer(request.from(), false, log.lastIndex(), request.round());
+      respond(request.from(), false, log.lastIndex(), request.round());
       return;
     }
     acceptLeader(request.from());
     Snapshot snapshot = request.snapshot();
     applied.install(snapshot);
-    answer(request.from(), true, snapshot.lastIndex(), request.round());
+    respond(request.from(), true, snapshot.lastIndex(), request.round());
   }
 
   private void acceptLeader(String identity) {
-    electionTimer.leaderHeard();
+    electionTimer.leaderSeen();
     lastLeaderContact = worker.now();
     if (role instanceof FollowerState follower) {
-      follower.follow(identity);
+      follower.setLeader(identity);
       electionTimer.restart();
     } else {
       becomeFollower(term(), identity);
     }
   }
 
-  private void answer(String to, boolean success, long matchIndex, long round) {
+  private void respond(String to, boolean success, long matchIndex, long round) {
     network.send(to, new AppendResponse(identity(), term(), success, matchIndex, round));
   }
 }
--- a/server/src/main/java/org/streamcourse/version/agreement/AgreementSettings.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/AgreementSettings.java
@@ -1,17 +1,17 @@
 package org.streamcourse.version.agreement;
 
 /**
- * Timing of the agreement.
+ * Timing and limits of the replicated log.
  *
- * @param heartbeatMillis time between a leader's rounds
- * @param electionTimeoutMillis least silence of the leader before a follower asks for votes; the
- *     most is twice this
- * @param firstElectionMillis the same, from a controller's start until it first hears of a leader;
- *     a pre-vote keeps it from disturbing one
- * @param entriesPerAppend most entries in one message
+ * @param heartbeatMillis interval between a leader's heartbeat rounds
+ * @param electionTimeoutMillis shortest time without messages from a leader after which a follower
+ *     starts an election; the longest is twice this
+ * @param firstElectionMillis the same, from a controller's start until it first sees a leader; the
+ *     pre-vote keeps an early election from disrupting a working leader
+ * @param entriesPerAppend maximum number of entries in one message
  * @param snapshotEvery number of applied entries between snapshots
- * @param maxVoters voters beyond which a learner only takes the place of a lost voter
- * @param voterLostMillis silence after which a voter counts as lost when a learner is ready
+ * @param maxVoters number of voters from which on a learner can only replace a lost voter
+ * @param voterLostMillis time without responses after which a learner may replace a voter
  */
 public record AgreementSettings(
     long heartbeatMillis,
@@ -21,14 +21,14 @@
     int snapshotEvery,
     int maxVoters,
     long voterLostMillis) {
-  /** Values used when the settings file names none. */
+  /** Default values. */
   public static final AgreementSettings DEFAULT =
       new AgreementSettings(100, 600, 150, 64, 256, Integer.MAX_VALUE, 3_000);
 
   /**
    * Limits the number of voters.
    *
-   * @param voters most voters; further controllers stay learners until a voter is lost
+   * @param voters maximum number of voters; further controllers stay learners until one is lost
    * @return changed settings
    */
   public AgreementSettings withMaxVoters(int voters) {
--- a/server/src/main/java/org/streamcourse/version/agreement/AppliedState.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/AppliedState.java
@@ -1,14 +1,14 @@
 package org.streamcourse.version.agreement;
 
 /**
- * How far the log is committed and applied, and the snapshots that follow from it.
+ * Commit index and applied index of the log; takes and installs snapshots.
  *
- * <p>Invariant: the state machine has exactly the commands up to the applied index, each once and
- * in order; a snapshot is taken only of applied entries.
+ * <p>Invariant: the state machine has applied exactly the commands up to the applied index, each
+ * once and in order; a snapshot covers applied entries only.
  */
 final class AppliedState {
   private final RecordLog log;
-  private final StateMachine machine;
+  private final StateMachine stateMachine;
   private final long snapshotEvery;
   private long commitIndex;
   private long appliedIndex;
@@ -17,12 +17,12 @@
    * Creates the state; nothing is applied yet.
    *
    * @param log durable log
-   * @param machine receives committed commands
+   * @param stateMachine receives committed commands
    * @param snapshotEvery number of applied entries between snapshots
    */
-  AppliedState(RecordLog log, StateMachine machine, long snapshotEvery) {
+  AppliedState(RecordLog log, StateMachine stateMachine, long snapshotEvery) {
     this.log = log;
-    this.machine = machine;
+    this.stateMachine = stateMachine;
     this.snapshotEvery = snapshotEvery;
   }
 
@@ -30,27 +30,27 @@
     return commitIndex;
   }
 
-  /** Brings the state machine to what is stored and known to be committed. */
+  /** Restores the state machine from the stored snapshot and the entries known to be committed. */
   void restore() {
     Snapshot snapshot = log.snapshot();
     if (snapshot != null) {
-      restart(snapshot);
-      commitTo(log.storedCommit());
+      resetTo(snapshot);
+      commitTo(log.storedCommitIndex());
     }
   }
 
-  /** Takes a leader's snapshot, unless all of it is committed here already. */
+  /** Installs a leader's snapshot, unless all entries that it covers are committed here already. */
   void install(Snapshot snapshot) {
     if (snapshot.lastIndex() <= commitIndex) {
       return;
     }
     boolean sameHistory = log.termAt(snapshot.lastIndex()) == snapshot.lastTerm();
     log.saveSnapshot(snapshot, sameHistory);
-    restart(snapshot);
+    resetTo(snapshot);
   }
 
-  private void restart(Snapshot snapshot) {
-    machine.restore(snapshot.state());
+  private void resetTo(Snapshot snapshot) {
+    stateMachine.restore(snapshot.state());
     commitIndex = snapshot.lastIndex();
     appliedIndex = snapshot.lastIndex();
   }
@@ -58,18 +58,18 @@
   /** Commits and applies all entries up to an index. */
   void commitTo(long index) {
     commitIndex = Math.max(commitIndex, index);
-    log.noteCommitted(commitIndex);
+    log.recordCommitIndex(commitIndex);
     while (appliedIndex < commitIndex) {
       appliedIndex++;
       LogEntry entry = log.entry(appliedIndex);
       if (entry.kind() == LogEntry.Kind.COMMAND) {
-        machine.apply(appliedIndex, entry.payload());
+        stateMachine.apply(appliedIndex, entry.payload());
       }
     }
     if (appliedIndex - log.snapshotIndex() >= snapshotEvery) {
       long lastTerm = log.termAt(appliedIndex);
       VoterSet voters = log.votersAt(appliedIndex);
-      log.saveSnapshot(new Snapshot(appliedIndex, lastTerm, voters, machine.snapshot()), true);
+      log.saveSnapshot(new Snapshot(appliedIndex, lastTerm, voters, stateMachine.snapshot()), true);
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/version/agreement/CandidateState.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/CandidateState.java
@@ -3,11 +3,11 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Collects votes, first provisional ones (pre-vote), then binding ones. */
+/** State of a candidate: the votes granted in a pre-vote or in an election. */
 final class CandidateState implements RoleState {
   private final boolean preVote;
   private final long requestedTerm;
-  private final Set<String> granted = new TreeSet<>();
+  private final Set<String> votes = new TreeSet<>();
 
   CandidateState(boolean preVote, long requestedTerm) {
     this.preVote = preVote;
@@ -22,11 +22,11 @@
     return requestedTerm;
   }
 
-  /** Counts a vote; returns true once a majority of the voters has granted. */
-  boolean grant(String identity, VoterSet voters) {
+  /** Records a granted vote; returns true once a majority of the voters has granted theirs. */
+  boolean addVote(String identity, VoterSet voters) {
     if (voters.voters().contains(identity)) {
-      granted.add(identity);
+      votes.add(identity);
     }
-    return granted.size() >= voters.majority();
+    return votes.size() >= voters.majority();
   }
 }
--- a/server/src/main/java/org/streamcourse/version/agreement/ElectionTimer.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/ElectionTimer.java
@@ -5,9 +5,11 @@
 import reactor.core.Disposable;
 
 /**
- * Runs out when no leader has been heard for a random time. From a controller's start until it
- * first hears of a leader the time is shorter, since the others may just be starting too; each try
- * then leaves more time than the one before, since votes may take long to come.
+ * Election timeout with random jitter, restarted by messages from a leader and by granted votes.
+ *
+ * <p>Until a controller has seen a leader for the first time the timeout is shorter, since all
+ * controllers may be starting at the same time and none of them may lead yet. It doubles with each
+ * unsuccessful election, up to the usual timeout, since votes may take long to arrive.
  *
  * <p>All methods run on the controller's worker.
  */
@@ -17,8 +19,8 @@
   private final RandomGenerator random;
   private final Runnable onTimeout;
   private Disposable timer = () -> {};
-  private boolean leaderHeard;
-  private long startingTimeout;
+  private boolean leaderSeen;
+  private long initialTimeout;
 
   ElectionTimer(
       Worker worker, AgreementSettings settings, RandomGenerator random, Runnable onTimeout) {
@@ -28,25 +30,25 @@
     this.onTimeout = onTimeout;
   }
 
-  /** The controller starts. */
-  void startFirst() {
-    startingTimeout = settings.firstElectionMillis();
-    start(startingTimeout);
+  /** Starts the timer when the controller starts. */
+  void startInitial() {
+    initialTimeout = settings.firstElectionMillis();
+    start(initialTimeout);
   }
 
-  /** A try has not led to a leader. */
-  void startNextTry() {
-    startingTimeout = Math.min(2 * startingTimeout, settings.electionTimeoutMillis());
-    start(leaderHeard ? settings.electionTimeoutMillis() : startingTimeout);
+  /** Starts the timer for the next election, after one that elected no leader. */
+  void startRetry() {
+    initialTimeout = Math.min(2 * initialTimeout, settings.electionTimeoutMillis());
+    start(leaderSeen ? settings.electionTimeoutMillis() : initialTimeout);
   }
 
-  /** A leader or a candidate was heard. */
+  /** Restarts the timer with the usual timeout. */
   void restart() {
     start(settings.electionTimeoutMillis());
   }
 
-  void leaderHeard() {
-    leaderHeard = true;
+  void leaderSeen() {
+    leaderSeen = true;
   }
 
   void stop() {
--- a/server/src/main/java/org/streamcourse/version/agreement/EntrySender.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/EntrySender.java
@@ -4,7 +4,10 @@
 import org.streamcourse.version.agreement.AgreementMessage.AppendRequest;
 import org.streamcourse.version.agreement.AgreementMessage.SnapshotRequest;
 
-/** Sends a leader's entries to another controller, or its snapshot when the entries are gone. */
+/**
+ * Sends a leader's log entries to another controller, or the leader's snapshot when the entries
+ * that come next are no longer in its log.
+ */
 final class EntrySender {
   private final RecordLog log;
   private final AgreementNetwork network;
@@ -17,15 +20,16 @@
   }
 
   /**
-   * Sends what a controller was not sent yet; without new entries this is a heartbeat. Entries are
-   * not sent again until the controller answers that it lacks them: with 40 ms between question and
-   * answer, and a change each 3 ms while a fleet starts, each was sent 168 times in a test.
+   * Sends the entries that a controller has not been sent yet; without new entries the request is a
+   * heartbeat. Entries are resent only after the controller has responded that it lacks them. A
+   * leader that resends until it gets an acknowledgement, with a round trip of 40 ms and a change
+   * every 3 ms while a fleet starts, sent each entry 168 times in a test.
    *
    * @param to receiver's identity
-   * @param progress what it was sent; moved on
+   * @param progress receiver's replication progress, advanced by this call
    * @param term leader's term
    * @param commitIndex leader's commit index
-   * @param round number that the answer repeats
+   * @param round round number that the response repeats
    */
   void send(String to, LeaderState.Progress progress, long term, long commitIndex, long round) {
     String self = log.quorumState().identity();
--- a/server/src/main/java/org/streamcourse/version/agreement/FollowerState.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/FollowerState.java
@@ -1,15 +1,15 @@
 package org.streamcourse.version.agreement;
 
-/** Follows a leader, or waits for one to appear. */
+/** State of a follower, with or without a known leader. */
 final class FollowerState implements RoleState {
-  /** Identity of the leader, or null when none has been heard in this term. */
+  /** Identity of the leader, or null while none is known in this term. */
   private String leader;
 
   String leader() {
     return leader;
   }
 
-  void follow(String identity) {
+  void setLeader(String identity) {
     leader = identity;
   }
 }
--- a/server/src/main/java/org/streamcourse/version/agreement/LeaderState.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/LeaderState.java
@@ -9,58 +9,62 @@
 import java.util.TreeSet;
 import java.util.function.ToLongFunction;
 
-/** Progress of the other controllers and reads that wait for a confirmed round. */
+/**
+ * State of a leader: replication progress of the other controllers, and tasks that wait for a
+ * confirmed round.
+ */
 final class LeaderState implements RoleState {
-  /** Progress of one controller. */
+  /** Replication progress of one controller. */
   static final class Progress {
     /**
-     * First entry that was not sent yet; what was sent is taken to arrive until an answer denies.
+     * Index of the next entry to send. Entries before it have been sent and are assumed to arrive
+     * until a response reports them missing.
      */
     long nextIndex;
 
-    /** Last entry that is known to be synced there. */
+    /** Index of the last entry that the controller is known to have synced. */
     long matchIndex;
 
-    long ackedRound;
-    long lastHeardMillis;
+    long acknowledgedRound;
+    long lastResponseMillis;
 
-    /**
-     * Where sending began anew, and the round of that, after an answer that entries are missing.
-     */
+    /** First entry of the last resend that followed a rejected append request. */
     private long resentFrom = Long.MAX_VALUE;
 
+    /** Round in which that resend took place. */
     private long resentRound;
 
     Progress(long nextIndex, long now) {
       this.nextIndex = nextIndex;
-      this.lastHeardMillis = now;
+      this.lastResponseMillis = now;
     }
 
-    /** What comes next goes out with all that the controller has not acknowledged. */
-    void sendUnacknowledgedAgain() {
+    /** Makes the next append request start with the first entry that is not acknowledged. */
+    void rewindToAcknowledged() {
       if (matchIndex > 0) {
         nextIndex = matchIndex + 1;
       }
     }
 
-    /** The controller has synced all entries up to one. */
-    void matched(long index) {
+    /** Records that the controller has synced all entries up to an index. */
+    void acknowledged(long index) {
       matchIndex = Math.max(matchIndex, index);
       nextIndex = Math.max(nextIndex, matchIndex + 1);
     }
 
     /**
-     * The controller lacks what an append request follows. All requests that were on their way say
-     * the same, so only the first such answer counts until a later round is denied too.
+     * Records that the controller rejected an append request because it lacks the entry before the
+     * request's first. All append requests in flight at that time are rejected too, so only the
+     * first rejection counts until a request of a later round is rejected.
      *
      * @param index last entry that the controller may have
-     * @param deniedRound round of the request
-     * @param round present round
-     * @return whether to send again
+     * @param rejectedRound round of the rejected request
+     * @param round current round
+     * @return whether to resend entries
      */
-    boolean denied(long index, long deniedRound, long round) {
+    boolean rejected(long index, long rejectedRound, long round) {
       long from = Math.max(matchIndex + 1, Math.min(nextIndex - 1, index + 1));
-      if (deniedRound <= resentRound && from >= resentFrom) {
+      if (rejectedRound <= resentRound && from >= resentFrom) {
         return false;
       }
       nextIndex = from;
@@ -70,12 +74,12 @@
     }
   }
 
-  private record Waiting(long round, Runnable task) {}
+  private record PendingTask(long round, Runnable task) {}
 
   private final long termStartIndex;
   private final Map<String, Progress> progress = new TreeMap<>();
-  private final List<Waiting> waiting = new ArrayList<>();
-  private final TreeSet<String> joining = new TreeSet<>();
+  private final List<PendingTask> pendingTasks = new ArrayList<>();
+  private final TreeSet<String> joinRequests = new TreeSet<>();
   private long round;
   private boolean announced;
 
@@ -96,6 +100,7 @@
     return round;
   }
 
+  /** Marks the leadership as reported to the state machine; returns true on the first call. */
   boolean announce() {
     boolean first = !announced;
     announced = true;
@@ -107,11 +112,11 @@
   }
 
   /**
-   * Begins to follow others, to whom nothing of this leader's term was sent yet. The leader itself
-   * is not followed: it never answers itself, and a voter that is followed and silent counts as
-   * lost.
+   * Starts tracking other controllers, none of which has been sent an entry of this leader's term.
+   * The leader itself is not tracked: it sends no responses to itself, and a tracked voter without
+   * responses counts as lost.
    */
-  void follow(List<String> identities, String self, long now) {
+  void track(List<String> identities, String self, long now) {
     for (String identity : identities) {
       if (!identity.equals(self)) {
         progress.put(identity, new Progress(termStartIndex, now));
@@ -123,52 +128,55 @@
     return progress.computeIfAbsent(identity, any -> new Progress(lastIndex + 1, now));
   }
 
-  /** Whether entries are sent to this identity; false for the leader itself. */
-  boolean isFollowed(String identity) {
+  /** Returns whether entries are sent to an identity; false for the leader itself. */
+  boolean isTracked(String identity) {
     return progress.containsKey(identity);
   }
 
-  /** What comes next goes to every controller with all that it has not acknowledged. */
-  void sendUnacknowledgedAgain() {
-    progress.values().forEach(Progress::sendUnacknowledgedAgain);
+  /** Makes the next append request to each controller start with its first unacknowledged entry. */
+  void rewindToAcknowledged() {
+    progress.values().forEach(Progress::rewindToAcknowledged);
   }
 
-  void requestJoin(String identity) {
-    joining.add(identity);
+  void addJoinRequest(String identity) {
+    joinRequests.add(identity);
   }
 
-  Optional<String> takeJoining() {
-    return Optional.ofNullable(joining.pollFirst());
+  Optional<String> pollJoinRequest() {
+    return Optional.ofNullable(joinRequests.pollFirst());
   }
 
-  void waitForNextRound(Runnable task) {
-    waiting.add(new Waiting(round + 1, task));
+  void addAfterNextRound(Runnable task) {
+    pendingTasks.add(new PendingTask(round + 1, task));
   }
 
-  /** Removes and returns the tasks whose round a majority has acknowledged. */
-  List<Runnable> confirmedTasks(VoterSet voters, String self) {
-    long confirmed = majorityValue(voters, self, round, each -> each.ackedRound);
+  /** Removes and returns the tasks whose round a majority of the voters has acknowledged. */
+  List<Runnable> takeConfirmedTasks(VoterSet voters, String self) {
+    long confirmed = majorityValue(voters, self, round, each -> each.acknowledgedRound);
     List<Runnable> due =
-        waiting.stream().filter(each -> each.round() <= confirmed).map(Waiting::task).toList();
-    waiting.removeIf(each -> each.round() <= confirmed);
+        pendingTasks.stream()
+            .filter(each -> each.round() <= confirmed)
+            .map(PendingTask::task)
+            .toList();
+    pendingTasks.removeIf(each -> each.round() <= confirmed);
     return due;
   }
 
-  long majorityMatch(VoterSet voters, String self, long selfIndex) {
+  long majorityMatchIndex(VoterSet voters, String self, long selfIndex) {
     return majorityValue(voters, self, selfIndex, each -> each.matchIndex);
   }
 
-  long majorityHeardMillis(VoterSet voters, String self, long now) {
-    return majorityValue(voters, self, now, each -> each.lastHeardMillis);
+  long majorityResponseMillis(VoterSet voters, String self, long now) {
+    return majorityValue(voters, self, now, each -> each.lastResponseMillis);
   }
 
-  /** Largest value that a majority of the voters has reached. */
+  /** Returns the largest value that a majority of the voters has reached. */
   private long majorityValue(
       VoterSet voters, String self, long selfValue, ToLongFunction<Progress> value) {
     List<Long> values = new ArrayList<>();
     for (String voter : voters.voters()) {
-      Progress known = progress.get(voter);
-      long reached = known == null ? 0 : value.applyAsLong(known);
+      Progress tracked = progress.get(voter);
+      long reached = tracked == null ? 0 : value.applyAsLong(tracked);
       values.add(voter.equals(self) ? selfValue : reached);
     }
     values.sort(Comparator.reverseOrder());
--- a/server/src/main/java/org/streamcourse/version/agreement/ProposalBatch.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/ProposalBatch.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.streamcourse.process.Worker;
 
-/** Gathers the commands that are proposed within one turn of the worker, which share one sync. */
+/** Batches the commands proposed within one task of the worker, so that they share one sync. */
 final class ProposalBatch {
   private final Worker worker;
   private final Consumer<List<byte[]>> append;
@@ -18,14 +18,14 @@
 
   void add(byte[] command) {
     if (commands.isEmpty()) {
-      worker.execute(this::end);
+      worker.execute(this::flush);
     }
     commands.add(command);
   }
 
-  private void end() {
-    List<byte[]> ended = List.copyOf(commands);
+  private void flush() {
+    List<byte[]> batch = List.copyOf(commands);
     commands.clear();
-    append.accept(ended);
+    append.accept(batch);
   }
 }
--- a/server/src/main/java/org/streamcourse/version/agreement/RecordLog.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/RecordLog.java
@@ -12,16 +12,16 @@
 import org.streamcourse.process.StreamcourseException;
 
 /**
- * The durable part of a controller: quorum state, snapshot and log segments.
+ * Persistent state of a controller: quorum state, snapshot and log segments.
  *
- * <p>A segment is a row of frames {@code length, CRC32C, entries}. Each append writes one frame and
- * syncs it before it returns, so a crash can tear only the last frame of the last segment; such a
- * tail is cut on opening. Damage anywhere else means that acknowledged entries are lost, and
- * opening fails with {@link ErrorCode#CORRUPT_LOG}.
+ * <p>A segment is a sequence of frames {@code length, CRC32C, entries}. Each append writes one
+ * frame and syncs it before it returns, so a crash can tear only the last frame of the last
+ * segment; a torn frame is truncated on opening. Damage anywhere else means that acknowledged
+ * entries are lost, and opening fails with {@link ErrorCode#CORRUPT_LOG}.
  *
- * <p>Before its entries a frame holds the index up to which entries were known to be committed when
- * it was written. So a controller that starts knows most of what is agreed before it has heard of
- * anybody, and no write of its own is needed for that.
+ * <p>Each frame starts with the commit index that was known when it was written. A restarted
+ * controller can therefore apply most committed entries before it has received any message, and
+ * storing the commit index takes no separate write.
  */
 public final class RecordLog {
   private static final String QUORUM_FILE = "quorum-state";
@@ -37,15 +37,15 @@
   private Snapshot snapshot;
 
   /**
-   * The newest voter set, or null while it has to be looked for. It is asked for several times with
-   * each message among controllers, and is up to {@link AgreementSettings#snapshotEvery} entries
-   * back.
+   * Cached newest voter set, or null if it must be looked up. It is read several times for each
+   * message between controllers, and its entry may be {@link AgreementSettings#snapshotEvery}
+   * entries before the last.
    */
   private VoterSet newestVoters;
 
   private boolean replacedBySnapshot;
-  private long knownCommit;
-  private long storedCommit;
+  private long knownCommitIndex;
+  private long storedCommitIndex;
 
   private RecordLog(Disk disk, MessageCodec codec) {
     this.disk = disk;
@@ -56,7 +56,7 @@
    * Opens the log in a data folder.
    *
    * @param disk data folder
-   * @param codec codec that knows the types of this package
+   * @param codec codec with the types of this package
    * @return log, possibly empty; see {@link #quorumState()}
    */
   public static RecordLog open(Disk disk, MessageCodec codec) {
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Returns the remembered quorum state.
+   * Returns the stored quorum state.
    *
    * @return state, or null in an empty data folder
    */
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Remembers a quorum state durably.
+   * Stores a quorum state durably.
    *
    * @param state new state
    */
@@ -112,9 +112,9 @@
   }
 
   /**
-   * Returns the index covered by the snapshot.
+   * Returns the index of the last entry that the snapshot covers.
    *
-   * @return 0 when there is none
+   * @return 0 when there is no snapshot
    */
   public long snapshotIndex() {
     return snapshot == null ? 0 : snapshot.lastIndex();
@@ -123,8 +123,8 @@
   /**
    * Returns the term of an entry.
    *
-   * @param index place in the log
-   * @return its term; 0 for index 0; -1 when the entry is not there
+   * @param index index of the entry
+   * @return its term; 0 for index 0; -1 when the log has no such entry
    */
   public long termAt(long index) {
     if (index == 0) {
@@ -138,11 +138,11 @@
   }
 
   /**
-   * Compares the end of this log with another's.
+   * Returns whether another log is at least as up to date as this one.
    *
-   * @param otherTerm term of the other's last entry
-   * @param otherIndex index of the other's last entry
-   * @return true when the other log ends at the same place or later
+   * @param otherTerm term of the other log's last entry
+   * @param otherIndex index of the other log's last entry
+   * @return true when the other log's last term is higher, or equal and its last index not lower
    */
   boolean isNoLaterThan(long otherTerm, long otherIndex) {
     boolean sameTerm = otherTerm == lastTerm();
@@ -152,8 +152,8 @@
   /**
    * Returns an entry.
    *
-   * @param index place in the log
-   * @return entry or null
+   * @param index index of the entry
+   * @return entry, or null when the log has no such entry
    */
   public LogEntry entry(long index) {
     return entries.get(index);
@@ -163,7 +163,7 @@
    * Returns entries from an index on.
    *
    * @param fromIndex first index
-   * @param limit most entries to return
+   * @param limit maximum number of entries to return
    * @return entries in order
    */
   public List<LogEntry> entriesFrom(long fromIndex, int limit) {
@@ -180,7 +180,7 @@
       return;
     }
     String segment = segmentForAppend(added.get(0).index());
-    disk.appendAndSync(segment, frame(added));
+    disk.appendAndSync(segment, encodeFrame(added));
     for (LogEntry entry : added) {
       entries.put(entry.index(), entry);
       if (entry.kind() == LogEntry.Kind.VOTERS) {
@@ -189,38 +189,38 @@
     }
   }
 
-  private byte[] frame(List<LogEntry> written) {
+  private byte[] encodeFrame(List<LogEntry> written) {
     List<Object> items = new ArrayList<>();
-    items.add(knownCommit);
+    items.add(knownCommitIndex);
     items.addAll(written);
     return Frames.write(codec.encode(items));
   }
 
   /**
-   * Notes how far entries are committed; stored with the next append.
+   * Records the commit index, which is stored with the next append.
    *
    * @param index index of an entry known to be committed
    */
-  void noteCommitted(long index) {
-    knownCommit = Math.max(knownCommit, index);
+  void recordCommitIndex(long index) {
+    knownCommitIndex = Math.max(knownCommitIndex, index);
   }
 
   /**
-   * Returns the index up to which the entries in this log were known to be committed at an earlier
-   * append; more may be.
+   * Returns the highest commit index found in the stored frames; the actual commit index may be
+   * higher.
    *
-   * @return index, at least that of the snapshot
+   * @return index between those of the snapshot and of the last entry
    */
-  long storedCommit() {
-    return Math.max(snapshotIndex(), Math.min(storedCommit, lastIndex()));
+  long storedCommitIndex() {
+    return Math.max(snapshotIndex(), Math.min(storedCommitIndex, lastIndex()));
   }
 
   /**
    * Appends new entries of a leader durably, in one write.
    *
    * @param term leader's term
-   * @param kind kind of all of them
-   * @param payloads their contents in order
+   * @param kind kind of all entries
+   * @param payloads payloads of the entries, in order
    */
   void appendNew(long term, LogEntry.Kind kind, List<byte[]> payloads) {
     List<LogEntry> added = new ArrayList<>();
@@ -231,9 +231,10 @@
   }
 
   /**
-   * Appends durably what is not there yet; entries that contradict what a leader sent are dropped.
+   * Appends durably the received entries that the log lacks, after dropping all entries from the
+   * first one that conflicts with a received entry.
    *
-   * @param received entries of the leader, in order; the one before them is in this log
+   * @param received entries from the leader, in order; the entry before them is in this log
    */
   public void appendMissing(List<LogEntry> received) {
     List<LogEntry> missing = new ArrayList<>();
@@ -250,10 +251,10 @@
   }
 
   /**
-   * Writes the first state of a new group of controllers into an empty log.
+   * Writes the initial state of a new quorum into an empty log.
    *
-   * @param identity this controller
-   * @param voters all first controllers; the same list on each of them
+   * @param identity this controller's identity
+   * @param voters all initial voters; the same list on each of them
    * @param emptyState snapshot of an empty state machine
    */
   public void bootstrap(String identity, List<String> voters, byte[] emptyState) {
@@ -264,7 +265,7 @@
   /**
    * Returns the newest voter set in the log, committed or not.
    *
-   * @return voters and learners; nobody in an empty log
+   * @return voters and learners; none in an empty log
    */
   public VoterSet voters() {
     if (newestVoters == null) {
@@ -277,7 +278,7 @@
    * Returns the voter set as of an entry.
    *
    * @param lastEntry index of the entry
-   * @return newest set at or before it
+   * @return newest voter set at or before that entry
    */
   VoterSet votersAt(long lastEntry) {
     for (LogEntry entry : entries.headMap(lastEntry, true).descendingMap().values()) {
@@ -285,7 +286,7 @@
         return VoterSetCodec.decode(entry.payload());
       }
     }
-    return snapshot == null ? VoterSet.NOBODY : snapshot.voters();
+    return snapshot == null ? VoterSet.EMPTY : snapshot.voters();
   }
 
   /**
@@ -305,10 +306,10 @@
   }
 
   /**
-   * Stores a snapshot durably and drops the segments that it covers.
+   * Stores a snapshot durably and deletes the segments that it covers.
    *
    * @param taken new snapshot
-   * @param keepTail true to keep the entries after it, false when the log is replaced by it
+   * @param keepTail true to keep the entries after the snapshot, false to drop the whole log
    */
   public void saveSnapshot(Snapshot taken, boolean keepTail) {
     disk.replace(SNAPSHOT_FILE, Frames.write(codec.encode(taken)));
@@ -334,7 +335,7 @@
 
   private void rewriteSegment(long firstIndex) {
     List<LogEntry> kept = new ArrayList<>(entries.tailMap(firstIndex, true).values());
-    byte[] content = kept.isEmpty() ? new byte[0] : frame(kept);
+    byte[] content = kept.isEmpty() ? new byte[0] : encodeFrame(kept);
     disk.replace(segments.get(firstIndex), content);
   }
 
@@ -354,7 +355,7 @@
       loadSegment(segments.get(first), first == segments.lastKey());
     }
     if (replacedBySnapshot) {
-      // A crash came between storing a leader's snapshot and dropping the log that it replaced.
+      // The process crashed between storing a leader's snapshot and dropping the replaced log.
       truncateFrom(0);
     }
     checkContinuity();
@@ -378,14 +379,14 @@
       int start = buffer.position();
       byte[] payload = Frames.read(buffer);
       if (payload == null) {
-        cutTail(name, buffer.array(), start, last);
+        truncateTornFrame(name, buffer.array(), start, last);
         return;
       }
       for (Object item : (List<?>) codec.decode(payload)) {
         if (item instanceof LogEntry entry) {
           loadEntry(entry);
         } else {
-          storedCommit = Math.max(storedCommit, (Long) item);
+          storedCommitIndex = Math.max(storedCommitIndex, (Long) item);
         }
       }
     }
@@ -399,7 +400,7 @@
     }
   }
 
-  private void cutTail(String name, byte[] content, int start, boolean last) {
+  private void truncateTornFrame(String name, byte[] content, int start, boolean last) {
     if (!last || frameFollows(content, start)) {
       throw corrupt(name, "damaged frame at byte " + start + " before the tail of the log");
     }
@@ -408,10 +409,12 @@
     disk.replace(name, kept);
   }
 
-  /** A whole frame after a damaged one shows that the damage is no torn tail. */
+  /** Returns whether an intact frame follows a damaged one, which rules out a torn write. */
   private static boolean frameFollows(byte[] content, int damagedAt) {
-    for (int at = damagedAt + 1; at + Frames.HEADER_BYTES < content.length; at++) {
-      if (Frames.read(ByteBuffer.wrap(content).position(at)) != null) {
+    for (int position = damagedAt + 1;
+        position + Frames.HEADER_BYTES < content.length;
+        position++) {
+      if (Frames.read(ByteBuffer.wrap(content).position(position)) != null) {
         return true;
       }
     }
--- a/server/src/main/java/org/streamcourse/version/agreement/RoleState.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/RoleState.java
@@ -1,4 +1,4 @@
 package org.streamcourse.version.agreement;
 
-/** What a controller keeps only while it has a role. */
+/** State that a controller keeps only while it has a role. */
 sealed interface RoleState permits FollowerState, CandidateState, LeaderState {}
--- a/server/src/main/java/org/streamcourse/version/agreement/Snapshot.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/Snapshot.java
@@ -1,11 +1,11 @@
 package org.streamcourse.version.agreement;
 
 /**
- * State of the machine after applying all entries up to an index.
+ * State of the state machine after applying all entries up to an index.
  *
- * @param lastIndex index of the last entry included
- * @param lastTerm its term
- * @param voters voter set in force at that index
- * @param state encoded state
+ * @param lastIndex index of the last applied entry
+ * @param lastTerm term of that entry
+ * @param voters voter set as of that index
+ * @param state encoded state of the state machine
  */
 public record Snapshot(long lastIndex, long lastTerm, VoterSet voters, byte[] state) {}
--- a/server/src/main/java/org/streamcourse/version/agreement/StateMachine.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/StateMachine.java
@@ -1,11 +1,11 @@
 package org.streamcourse.version.agreement;
 
-/** What the log is for: commands are applied in log order, on every controller alike. */
+/** Applies committed commands in log order, in the same way on each controller. */
 public interface StateMachine {
   /**
    * Applies a committed command.
    *
-   * @param index its place in the log
+   * @param index index of the log entry
    * @param command encoded command
    */
   void apply(long index, byte[] command);
@@ -25,12 +25,13 @@
   void restore(byte[] state);
 
   /**
-   * Tells that this controller now leads and has applied all that earlier leaders committed.
+   * Called when this controller has become leader and has applied all entries that earlier leaders
+   * committed.
    *
-   * @param term its term
+   * @param term leader's term
    */
   void leadershipStarted(long term);
 
-  /** Tells that this controller no longer leads. */
+  /** Called when this controller has stopped being leader. */
   void leadershipEnded();
 }
--- a/server/src/main/java/org/streamcourse/version/agreement/VoterChanges.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/VoterChanges.java
@@ -4,11 +4,12 @@
 import java.util.Optional;
 
 /**
- * Decides the next change of the voter set. A controller that lost its disk comes back under a new
- * identity: it is admitted as a learner, then the voter of the same name is removed, then the
- * learner, once caught up and heard, becomes a voter. With as many voters as there may be, a
- * learner of another name takes the place of a voter that was not heard for a while, else it stays
- * a learner. One step is taken at a time, and none while an earlier step is uncommitted.
+ * Computes the next change of the voter set. A controller that lost its disk returns under a new
+ * identity and is added as a learner. Once the learner has caught up and is responding, the voter
+ * of the same name is removed and the learner then becomes a voter. At the maximum number of
+ * voters, a learner of another name replaces a voter that has not responded for {@link
+ * AgreementSettings#voterLostMillis}; while there is no such voter it stays a learner. Steps are
+ * taken one at a time, and none while an earlier one is uncommitted.
  */
 final class VoterChanges {
   private VoterChanges() {}
@@ -25,8 +26,8 @@
     }
     for (String learner : current.learners()) {
       LeaderState.Progress progress = leader.progressOf(learner, log.lastIndex(), now);
-      boolean heard = now - progress.lastHeardMillis < settings.electionTimeoutMillis();
-      if (heard && progress.matchIndex > 0 && progress.matchIndex >= commitIndex) {
+      boolean responsive = now - progress.lastResponseMillis < settings.electionTimeoutMillis();
+      if (responsive && progress.matchIndex > 0 && progress.matchIndex >= commitIndex) {
         Optional<String> replaced =
             otherWithSameName(current.voters(), learner)
                 .or(() -> lostVoter(current, leader, log.lastIndex(), now, settings));
@@ -38,27 +39,27 @@
         }
       }
     }
-    return leader.takeJoining().map(joining -> admit(current, joining));
+    return leader.pollJoinRequest().map(joining -> admit(current, joining));
   }
 
-  /** A voter that is silent and in whose place a learner may step. */
+  /** Finds an unresponsive voter that a learner may replace. */
   private static Optional<String> lostVoter(
       VoterSet current, LeaderState leader, long lastIndex, long now, AgreementSettings settings) {
     if (current.voters().size() < settings.maxVoters()) {
       return Optional.empty();
     }
     return current.voters().stream()
-        .filter(voter -> leader.isFollowed(voter))
+        .filter(voter -> leader.isTracked(voter))
         .filter(
             voter ->
-                now - leader.progressOf(voter, lastIndex, now).lastHeardMillis
+                now - leader.progressOf(voter, lastIndex, now).lastResponseMillis
                     > settings.voterLostMillis())
         .findFirst();
   }
 
   private static VoterSet admit(VoterSet current, String joining) {
-    Optional<String> abandoned = otherWithSameName(current.learners(), joining);
-    return abandoned.map(current::without).orElse(current).withLearner(joining);
+    Optional<String> former = otherWithSameName(current.learners(), joining);
+    return former.map(current::without).orElse(current).withLearner(joining);
   }
 
   private static boolean hasUncommittedVoters(RecordLog log, long commitIndex) {
--- a/server/src/main/java/org/streamcourse/version/agreement/VoterSet.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/VoterSet.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Who takes part in the agreement. An identity is {@code name@disk}: a controller that lost its
- * disk has a new one.
+ * The controllers that replicate the log. An identity is {@code name@disk}: a controller that lost
+ * its disk returns with a new identity.
  *
  * @param voters identities whose majority elects and commits
- * @param learners identities that receive the log but do not count
+ * @param learners identities that receive the log but do not count towards a majority
  */
 public record VoterSet(List<String> voters, List<String> learners) {
-  /** The set of a controller that knows of no group yet. */
-  static final VoterSet NOBODY = new VoterSet(List.of(), List.of());
+  /** Voter set of a controller that has not joined a quorum yet. */
+  static final VoterSet EMPTY = new VoterSet(List.of(), List.of());
 
   private static final char DISK_SEPARATOR = '@';
 
@@ -26,7 +26,7 @@
    * Builds an identity.
    *
    * @param name controller's name
-   * @param disk identifier of its disk
+   * @param disk identifier of the controller's disk
    * @return identity
    */
   public static String identity(String name, String disk) {
@@ -47,7 +47,7 @@
   /**
    * Returns the size of a majority.
    *
-   * @return least number of voters that decides
+   * @return smallest number of voters that is a majority
    */
   public int majority() {
     return voters.size() / 2 + 1;
@@ -67,7 +67,7 @@
   /**
    * Adds a learner.
    *
-   * @param identity who joins
+   * @param identity learner to add
    * @return new set
    */
   public VoterSet withLearner(String identity) {
@@ -79,7 +79,7 @@
   /**
    * Removes a voter or learner.
    *
-   * @param identity who leaves
+   * @param identity voter or learner to remove
    * @return new set
    */
   public VoterSet without(String identity) {
@@ -93,7 +93,7 @@
   /**
    * Turns a learner into a voter.
    *
-   * @param identity a learner
+   * @param identity learner to promote
    * @return new set
    */
   public VoterSet promoted(String identity) {
--- a/server/src/main/java/org/streamcourse/version/agreement/VoterSetCodec.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/VoterSetCodec.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import org.streamcourse.process.MessageCodec;
 
-/** Encodes voter sets and lists the types that the log stores. */
+/** Encodes voter sets and lists the types of this package that are serialized. */
 public final class VoterSetCodec {
-  /** Types of this package that are stored or sent, in the order that numbers them. */
+  /** Types that are stored or sent. Kryo numbers them by their order in this list. */
   public static final List<Class<?>> TYPES =
       List.of(
           LogEntry.class,
@@ -35,7 +35,7 @@
   /**
    * Returns the codec for the durable log.
    *
-   * @return codec that knows the types of this package
+   * @return codec with the types of this package
    */
   public static MessageCodec codec() {
     return CODEC;
--- a/server/src/main/java/org/streamcourse/version/agreement/package-info.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The replicated log of the controllers: elections, commit by majority, snapshots, membership. It
- * knows nothing about what is agreed on.
+ * The controllers' replicated log, after the Raft protocol: elections, replication, snapshots and
+ * voter changes. It does not depend on the commands that it replicates.
  */
 package org.streamcourse.version.agreement;
--- a/server/src/test/java/org/streamcourse/process/explain/ExplainTest.java
+++ b/server/src/test/java/org/streamcourse/process/explain/ExplainTest.java
@@ -135,6 +135,28 @@
     }
   }
 
+  /** Older builds log changes of the controllers' leader with other texts than present ones. */
+  @Test
+  public void includesLeadershipChangesInTheTextsOfOldAndNewBuilds() throws IOException {
+    log("p1", line("20.000", "request attempt", "\"request\":\"" + ID + "\",\"step\":\"admit\""));
+    List<String> messages =
+        List.of(
+            "became leader of term 4 as c1",
+            "lost leadership: is now a follower in term 4",
+            "resigned leadership: no majority responded for 700 ms",
+            "proposing voters [c1] with learners [c2]",
+            "leads term 4 as c1",
+            "no longer leads; term is 4",
+            "steps down: no majority heard for 700 ms",
+            "changes voters to [c1] with learners [c2]");
+    for (String message : messages) {
+      log("c1", line("19.000", message, ""), line("19.500", "unrelated " + message, ""));
+      Explanation found = new RequestExplainer(logs).explain(ID);
+      List<String> nodes = found.steps().stream().map(Explanation.Step::node).toList();
+      assertEquals(nodes, List.of("c1", "p1"), message);
+    }
+  }
+
   @Test
   public void unknownIdIsRefused() throws IOException {
     logAFailedWrite();
--- a/server/src/test/java/org/streamcourse/version/agreement/ElectionTest.java
+++ b/server/src/test/java/org/streamcourse/version/agreement/ElectionTest.java
@@ -15,10 +15,10 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** Controllers that all start at once elect a leader, however long their messages take. */
+/** Controllers that start at the same time elect a leader, with message delays of up to 250 ms. */
 public class ElectionTest {
   private static final List<String> VOTERS = List.of("a@1", "b@1", "c@1");
-  private static final Duration PATIENCE = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   @DataProvider
   public Object[][] delays() {
@@ -26,7 +26,7 @@
   }
 
   @Test(dataProvider = "delays")
-  public void aLeaderIsElected(long delayMillis) {
+  public void electsOneLeader(long delayMillis) {
     for (long seed = 1; seed <= 20; seed++) {
       VirtualTimeScheduler clock = VirtualTimeScheduler.create();
       Map<String, AgreementNode> nodes = new TreeMap<>();
@@ -47,19 +47,20 @@
                 random));
       }
       nodes.values().forEach(AgreementNode::start);
-      clock.advanceTimeBy(PATIENCE);
+      clock.advanceTimeBy(TIMEOUT);
       long leaders = nodes.values().stream().filter(AgreementNode::isLeader).count();
       assertEquals(leaders, 1, "delay " + delayMillis + " ms, seed " + seed);
     }
   }
 
   /**
-   * A leader serves once its first entry is agreed on. That entry goes out at once, so this takes
-   * one answer; sent after it, the first messages were denied, and each election took 40 ms more
-   * between regions, in which nobody could be admitted or confirmed.
+   * A leader can serve requests once the first entry of its term is committed. The leader sends
+   * that entry immediately, so this takes one round trip. When the first append requests followed
+   * that entry instead of containing it, they were rejected, and each election between regions took
+   * 40 ms longer, during which no node could be admitted or confirmed.
    */
   @Test
-  public void aLeaderIsAnnouncedAfterOneAnswer() {
+  public void newLeaderServesAfterOneRoundTrip() {
     long delayMillis = 40;
     VirtualTimeScheduler clock = VirtualTimeScheduler.create();
     Map<String, AgreementNode> nodes = new TreeMap<>();
--- a/server/src/test/java/org/streamcourse/version/agreement/EmptyStateMachine.java
+++ b/server/src/test/java/org/streamcourse/version/agreement/EmptyStateMachine.java
@@ -1,6 +1,6 @@
 package org.streamcourse.version.agreement;
 
-/** A state machine of nothing, for tests of the agreement alone. */
+/** A state machine without state, for tests of the replicated log alone. */
 final class EmptyStateMachine implements StateMachine {
   @Override
   public void apply(long index, byte[] command) {}
--- a/server/src/test/java/org/streamcourse/version/agreement/EntriesSentOnceTest.java
+++ b/server/src/test/java/org/streamcourse/version/agreement/EntriesSentOnceTest.java
@@ -22,18 +22,19 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * A leader sends each entry once to each controller, however many follow before the first answer,
- * and again only when it was lost. In a fleet that starts, some 300 changes within a second and 40
- * ms between question and answer, each was sent a dozen times: 36 MB between regions.
+ * A leader sends each entry to each controller once, and resends it only when it was
+ * unreachableNodes. A leader that resent all unacknowledged entries with each new one sent each
+ * entry a dozen times while a fleet started, with some 300 changes within a second and a round trip
+ * of 40 ms: 36 MB between regions.
  */
 public class EntriesSentOnceTest {
   private static final List<String> VOTERS = List.of("a@1", "b@1", "c@1", "d@1", "e@1");
-  private static final long WAY_MILLIS = 20;
+  private static final long ONE_WAY_MILLIS = 20;
   private static final int CHANGES = 300;
-  private static final long CHANGE_MILLIS = 3;
+  private static final long CHANGE_INTERVAL_MILLIS = 3;
 
-  /** Notes what was applied. */
-  private static final class Applied implements StateMachine {
+  /** Records the applied commands. */
+  private static final class RecordingStateMachine implements StateMachine {
     private final List<String> commands = new ArrayList<>();
 
     @Override
@@ -63,8 +64,8 @@
   private final class Group {
     private final VirtualTimeScheduler clock = VirtualTimeScheduler.create();
     private final Map<String, AgreementNode> nodes = new TreeMap<>();
-    private final Map<String, Applied> machines = new HashMap<>();
-    private final Set<String> lost = new HashSet<>();
+    private final Map<String, RecordingStateMachine> machines = new HashMap<>();
+    private final Set<String> unreachableNodes = new HashSet<>();
     private final Random random = new Random(7);
     private long entriesSent;
     private long requests;
@@ -74,7 +75,7 @@
       for (String identity : VOTERS) {
         RecordLog log = RecordLog.open(new MemoryDisk(), VoterSetCodec.codec());
         log.bootstrap(identity, VOTERS, new byte[0]);
-        Applied machine = new Applied();
+        RecordingStateMachine machine = new RecordingStateMachine();
         machines.put(identity, machine);
         nodes.put(
             identity,
@@ -87,7 +88,7 @@
                 random));
       }
       nodes.values().forEach(AgreementNode::start);
-      pass(5_000);
+      advance(5_000);
       entriesSent = 0;
     }
 
@@ -96,13 +97,15 @@
         requests++;
         entriesSent += request.entries().size();
       }
-      if (lost.contains(from) || lost.contains(to) || random.nextInt(100) < lossPercent) {
+      if (unreachableNodes.contains(from)
+          || unreachableNodes.contains(to)
+          || random.nextInt(100) < lossPercent) {
         return;
       }
-      clock.schedule(() -> nodes.get(to).receive(message), WAY_MILLIS, TimeUnit.MILLISECONDS);
+      clock.schedule(() -> nodes.get(to).receive(message), ONE_WAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
       clock.advanceTimeBy(Duration.ofMillis(millis));
     }
 
@@ -110,12 +113,12 @@
       return nodes.values().stream().filter(AgreementNode::isLeader).findFirst().orElseThrow();
     }
 
-    private void change(int from, int count) {
+    private void proposeCommands(int from, int count) {
       for (int i = from; i < from + count; i++) {
         byte[] command = ("c" + i).getBytes(StandardCharsets.UTF_8);
-        // A turn of a worker, as proposals come from one.
+        // Proposals are made from a task of the worker, as in production.
         clock.schedule(() -> leader().propose(command), 1, TimeUnit.MILLISECONDS);
-        pass(CHANGE_MILLIS);
+        advance(CHANGE_INTERVAL_MILLIS);
       }
     }
 
@@ -126,50 +129,50 @@
   }
 
   @Test
-  public void eachEntryGoesOnceToEachController() {
+  public void sendsEachEntryToEachControllerOnce() {
     Group group = new Group();
-    group.change(0, CHANGES);
-    group.pass(1_000);
+    group.proposeCommands(0, CHANGES);
+    group.advance(1_000);
     group.assertAllApplied(CHANGES);
     assertEquals(group.entriesSent, (long) CHANGES * (VOTERS.size() - 1));
   }
 
   @Test
-  public void whatWasLostIsSentAgain() {
+  public void lostEntriesAreResent() {
     Group group = new Group();
     group.lossPercent = 5;
-    group.change(0, CHANGES);
+    group.proposeCommands(0, CHANGES);
     group.lossPercent = 0;
-    group.pass(2_000);
+    group.advance(2_000);
     group.assertAllApplied(CHANGES);
     long once = (long) CHANGES * (VOTERS.size() - 1);
     assertTrue(group.entriesSent < 6 * once, group.entriesSent + " entries sent, " + once + " new");
   }
 
   @Test
-  public void aControllerThatWasAwayCatchesUpBehindASnapshot() {
+  public void unreachableControllerCatchesUpFromASnapshot() {
     Group group = new Group();
     AgreementNode leader = group.leader();
-    String away =
+    String unreachable =
         VOTERS.stream().filter(each -> !each.equals(leader.identity())).findFirst().orElseThrow();
-    group.lost.add(away);
-    group.change(0, 2 * CHANGES);
-    group.lost.clear();
-    group.pass(2_000);
+    group.unreachableNodes.add(unreachable);
+    group.proposeCommands(0, 2 * CHANGES);
+    group.unreachableNodes.clear();
+    group.advance(2_000);
     group.assertAllApplied(2 * CHANGES);
   }
 
   @Test
-  public void manyQuestionsShareARound() {
+  public void concurrentConfirmationsShareARound() {
     Group group = new Group();
     int[] confirmed = new int[1];
     long before = group.requests;
     for (int i = 0; i < CHANGES; i++) {
-      Runnable ask = () -> group.leader().whenLeadershipConfirmed(() -> confirmed[0]++, true);
-      group.clock.schedule(ask, 1, TimeUnit.MILLISECONDS);
-      group.pass(1);
+      Runnable confirm = () -> group.leader().whenLeadershipConfirmed(() -> confirmed[0]++, true);
+      group.clock.schedule(confirm, 1, TimeUnit.MILLISECONDS);
+      group.advance(1);
     }
-    group.pass(200);
+    group.advance(200);
     assertEquals(confirmed[0], CHANGES);
     long rounds = (group.requests - before) / (VOTERS.size() - 1);
     assertTrue(rounds <= CHANGES / 10 + 8, rounds + " rounds within half a second");
--- a/server/src/test/java/org/streamcourse/version/agreement/RecordLogTest.java
+++ b/server/src/test/java/org/streamcourse/version/agreement/RecordLogTest.java
@@ -15,7 +15,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The durable log: what it keeps, what it cuts, and when it refuses to open. */
+/**
+ * The durable log: what survives a restart, torn writes, and damage with which it fails to open.
+ */
 public class RecordLogTest {
   private static final int ENTRIES = 20;
 
@@ -41,7 +43,7 @@
   }
 
   @Test
-  public void returnsWhatWasSynced() {
+  public void returnsSyncedEntriesAfterReopening() {
     RecordLog log = RecordLog.open(disk, codec);
     assertEquals(log.lastIndex(), ENTRIES + 1);
     assertEquals(log.quorumState().identity(), "c1@a");
@@ -49,8 +51,9 @@
   }
 
   /**
-   * With 20 entries since the last change of voters, each question decoded the set anew and looked
-   * through all of them; a leader asks some six times for each message of another controller.
+   * The voter set is decoded once until it changes. A leader reads it some six times for each
+   * message from another controller; without the cache, each read searched all entries since the
+   * last change of voters (20 in this test) and decoded the set reopened.
    */
   @Test
   public void readsTheVoterSetOnceUntilItChanges() {
@@ -70,10 +73,10 @@
   }
 
   @Test
-  public void cutsATornTailAtEveryByte() {
+  public void truncatesATornTailAtEveryByte() {
     byte[] whole = disk.read(lastSegment());
-    int lastFrame = whole.length - wholeFrameLength(whole);
-    for (int length = whole.length - 1; length >= lastFrame; length--) {
+    int lastFrameStart = whole.length - lastFrameLength(whole);
+    for (int length = whole.length - 1; length >= lastFrameStart; length--) {
       disk.replace(lastSegment(), Arrays.copyOf(whole, length));
       RecordLog log = RecordLog.open(disk, codec);
       assertEquals(log.lastIndex(), ENTRIES, "torn at byte " + length);
@@ -83,13 +86,13 @@
     }
   }
 
-  /** All frames of the test have the same length but for the digits of their numbers. */
-  private static int wholeFrameLength(byte[] segment) {
-    int at = 0;
+  /** Returns the length of a segment's last frame. */
+  private static int lastFrameLength(byte[] segment) {
+    int position = 0;
     int length = 0;
-    while (at < segment.length) {
-      length = 8 + java.nio.ByteBuffer.wrap(segment, at, 4).getInt();
-      at += length;
+    while (position < segment.length) {
+      length = 8 + java.nio.ByteBuffer.wrap(segment, position, 4).getInt();
+      position += length;
     }
     return length;
   }
@@ -126,46 +129,47 @@
   }
 
   @Test
-  public void replacesWhatContradictsTheLeader() {
+  public void replacesEntriesThatConflictWithTheLeader() {
     RecordLog log = RecordLog.open(disk, codec);
     log.appendMissing(List.of(entry(10, 1), entry(11, 3), entry(12, 3)));
     assertEquals(log.lastIndex(), 12);
-    RecordLog again = RecordLog.open(disk, codec);
-    assertEquals(again.lastIndex(), 12);
-    assertEquals(again.termAt(10), 1);
-    assertEquals(again.termAt(11), 3);
+    RecordLog reopened = RecordLog.open(disk, codec);
+    assertEquals(reopened.lastIndex(), 12);
+    assertEquals(reopened.termAt(10), 1);
+    assertEquals(reopened.termAt(11), 3);
   }
 
   @Test
-  public void snapshotReplacesWhatItCovers() {
+  public void snapshotReplacesCoveredEntries() {
     RecordLog log = RecordLog.open(disk, codec);
     log.saveSnapshot(
         new Snapshot(15, 1, new VoterSet(List.of("c1@a"), List.of()), new byte[] {9}), true);
-    RecordLog again = RecordLog.open(disk, codec);
-    assertEquals(again.snapshotIndex(), 15);
-    assertEquals(again.lastIndex(), ENTRIES + 1);
-    assertNull(again.entry(15));
+    RecordLog reopened = RecordLog.open(disk, codec);
+    assertEquals(reopened.snapshotIndex(), 15);
+    assertEquals(reopened.lastIndex(), ENTRIES + 1);
+    assertNull(reopened.entry(15));
   }
 
   @Test
-  public void knowsAfterAStartWhatWasCommittedBeforeTheLastAppend() {
+  public void storesTheCommitIndexWithTheNextAppend() {
     RecordLog log = RecordLog.open(disk, codec);
-    assertEquals(log.storedCommit(), 1, "nothing but the snapshot is known to be committed");
-    log.noteCommitted(10);
-    assertEquals(RecordLog.open(disk, codec).storedCommit(), 1, "not written by itself");
+    assertEquals(log.storedCommitIndex(), 1, "only the snapshot is known to be committed");
+    log.recordCommitIndex(10);
+    assertEquals(
+        RecordLog.open(disk, codec).storedCommitIndex(), 1, "not written without an append");
     log.append(List.of(entry(log.lastIndex() + 1, 1)));
-    assertEquals(RecordLog.open(disk, codec).storedCommit(), 10);
+    assertEquals(RecordLog.open(disk, codec).storedCommitIndex(), 10);
   }
 
   @Test
-  public void whatIsKnownToBeCommittedNeverLiesBeyondTheLog() {
+  public void storedCommitIndexNeverExceedsTheLog() {
     RecordLog log = RecordLog.open(disk, codec);
-    log.noteCommitted(ENTRIES + 1);
+    log.recordCommitIndex(ENTRIES + 1);
     log.append(List.of(entry(log.lastIndex() + 1, 1)));
     byte[] whole = disk.read(lastSegment());
     disk.replace(lastSegment(), Arrays.copyOf(whole, whole.length - 1));
     RecordLog torn = RecordLog.open(disk, codec);
     assertEquals(torn.lastIndex(), ENTRIES + 1);
-    assertEquals(torn.storedCommit(), 1, "the torn frame told it");
+    assertEquals(torn.storedCommitIndex(), 1, "the commit index was in the torn frame");
   }
 }
--- a/server/src/test/java/org/streamcourse/version/agreement/VoterChangeInFlightTest.java
+++ b/server/src/test/java/org/streamcourse/version/agreement/VoterChangeInFlightTest.java
@@ -23,43 +23,43 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * A controller lost its disk and is about to vote again: its promotion stands in the leader's log
- * and is on its way to both others. Then the leader is lost with its disk. The promotion must count
- * where it arrives: without it the voters in force are the lost leader and one other, who has no
- * majority for good, and nothing is served any more.
+ * A controller that lost its disk is promoted from learner to voter, and the leader is lost with
+ * its disk while the promotion is in flight to the two other controllers. The promotion must take
+ * effect wherever it arrives. Otherwise the latest voters are the lost leader and one other, which
+ * can never form a majority, and the quorum stays without a leader.
  *
- * <p>Each entry was sent once, in a message that follows the one before, so a controller that
- * lacked the command before the promotion denied the promotion too, and its denial reached nobody.
- * Seen in the simulator: {@code changes voters to [c1, c3, c2']}, entry 27, at 9,497 ms; at c2' and
- * at c3 it arrived after 26 entries of which each still lacked the last, and 50 ms later both had
- * that one; c1 was gone, and both asked for votes with the voters {@code [c1, c3]} until the end.
+ * <p>The failure: with each entry sent only once, a controller that lacked the entry before the
+ * promotion rejected the promotion as well, and the rejection could not reach the lost leader. In
+ * the simulator, c1 proposed {@code [c1, c3, c2']} as entry 27 and was lost; c2' and c3 received it
+ * before entry 26, rejected it, received entry 26 within 50 ms, and then requested votes with the
+ * voters {@code [c1, c3]} without success.
  */
 public class VoterChangeInFlightTest {
   private static final List<String> VOTERS = List.of("a@1", "b@1", "c@1");
-  private static final long WAY_MILLIS = 20;
+  private static final long ONE_WAY_MILLIS = 20;
 
-  /** Time until a message that was sent has been answered, with some to spare. */
-  private static final long ANSWERED_MILLIS = 3 * WAY_MILLIS;
+  /** Enough time for a round trip. */
+  private static final long ROUND_TRIP_MILLIS = 3 * ONE_WAY_MILLIS;
 
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   private VirtualTimeScheduler clock;
   private final Map<String, AgreementNode> nodes = new TreeMap<>();
-  private final Set<String> gone = new HashSet<>();
+  private final Set<String> lostNodes = new HashSet<>();
   private AgreementSettings settings;
-  private boolean losesCommands;
-  private boolean losesPromotions;
+  private boolean dropCommands;
+  private boolean dropPromotions;
   private boolean promotionSent;
   private String returned;
 
   @BeforeMethod
-  public void forget() {
+  public void reset() {
     clock = VirtualTimeScheduler.create();
     settings = AgreementSettings.DEFAULT;
     nodes.clear();
-    gone.clear();
-    losesCommands = false;
-    losesPromotions = false;
+    lostNodes.clear();
+    dropCommands = false;
+    dropPromotions = false;
     promotionSent = false;
   }
 
@@ -77,21 +77,21 @@
   }
 
   private void send(String from, String to, AgreementMessage message) {
-    if (gone.contains(from) || gone.contains(to)) {
+    if (lostNodes.contains(from) || lostNodes.contains(to)) {
       return;
     }
-    if (!isLost(message)) {
-      clock.schedule(() -> arrive(to, message), WAY_MILLIS, TimeUnit.MILLISECONDS);
+    if (!isDropped(message)) {
+      clock.schedule(() -> deliver(to, message), ONE_WAY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private boolean isLost(AgreementMessage message) {
+  private boolean isDropped(AgreementMessage message) {
     if (!(message instanceof AppendRequest request) || request.entries().isEmpty()) {
       return false;
     }
     boolean promotes = request.entries().stream().anyMatch(this::promotes);
     promotionSent |= promotes;
-    return promotes ? losesPromotions : losesCommands;
+    return promotes ? dropPromotions : dropCommands;
   }
 
   private boolean promotes(LogEntry entry) {
@@ -100,118 +100,117 @@
             .anyMatch(each -> each.endsWith("@2"));
   }
 
-  private void arrive(String to, AgreementMessage message) {
-    if (!gone.contains(to)) {
+  private void deliver(String to, AgreementMessage message) {
+    if (!lostNodes.contains(to)) {
       nodes.get(to).receive(message);
     }
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     clock.advanceTimeBy(Duration.ofMillis(millis));
   }
 
-  private void passWhile(BooleanSupplier condition) {
+  private void advanceWhile(BooleanSupplier condition) {
     for (long millis = 0; condition.getAsBoolean(); millis++) {
-      assertTrue(millis < PATIENCE.toMillis(), "waits in vain");
-      pass(1);
+      assertTrue(millis < TIMEOUT.toMillis(), "condition still holds after the timeout");
+      advance(1);
     }
   }
 
   private List<AgreementNode> leaders() {
     return nodes.values().stream()
-        .filter(each -> !gone.contains(each.identity()) && each.isLeader())
+        .filter(each -> !lostNodes.contains(each.identity()) && each.isLeader())
         .toList();
   }
 
-  private AgreementNode leaderOfAllVoters() {
+  private AgreementNode startVotersAndElectLeader() {
     for (String identity : VOTERS) {
       RecordLog log = RecordLog.open(new MemoryDisk(), VoterSetCodec.codec());
       log.bootstrap(identity, VOTERS, new byte[0]);
       startNode(identity, log);
     }
-    pass(5_000);
+    advance(5_000);
     return leaders().get(0);
   }
 
-  /** Brings a group to where its leader is about to promote a controller that lost its disk. */
+  /** Starts a quorum and returns its leader when that is about to promote a returned controller. */
   private AgreementNode leaderAboutToPromote() {
-    AgreementNode leader = leaderOfAllVoters();
+    AgreementNode leader = startVotersAndElectLeader();
     String lost =
         VOTERS.stream().filter(each -> !each.equals(leader.identity())).findFirst().orElseThrow();
-    gone.add(lost);
+    lostNodes.add(lost);
     returned = lost.replace("@1", "@2");
     RecordLog empty = RecordLog.open(new MemoryDisk(), VoterSetCodec.codec());
     empty.saveQuorumState(new QuorumState(returned, 0, ""));
     startNode(returned, empty);
     leader.receive(new JoinRequest(returned, 0));
-    passWhile(() -> leader.voters().voters().size() == VOTERS.size());
+    advanceWhile(() -> leader.voters().voters().size() == VOTERS.size());
     assertEquals(leader.voters().learners(), List.of(returned), "not yet a voter");
     return leader;
   }
 
   private void loseWithItsDisk(AgreementNode leader) {
-    gone.add(leader.identity());
-    losesCommands = false;
-    losesPromotions = false;
-    clock.advanceTimeBy(PATIENCE);
+    lostNodes.add(leader.identity());
+    dropCommands = false;
+    dropPromotions = false;
+    clock.advanceTimeBy(TIMEOUT);
   }
 
-  private void assertServesWithTheReturnedOne() {
+  private void assertLeaderExistsAndReturnedControllerVotes() {
     assertEquals(leaders().size(), 1, "leaders after the loss");
     AgreementNode next = leaders().get(0);
     assertTrue(next.voters().voters().contains(returned), next.voters().toString());
   }
 
   @Test
-  public void aPromotionCountsThoughTheMessageBeforeItWasLost() {
+  public void promotionTakesEffectAlthoughTheEntryBeforeItWasLost() {
     AgreementNode leader = leaderAboutToPromote();
-    losesCommands = true;
+    dropCommands = true;
     byte[] command = "lost on its way".getBytes(StandardCharsets.UTF_8);
     clock.schedule(() -> leader.propose(command), 1, TimeUnit.MILLISECONDS);
-    passWhile(() -> !promotionSent);
+    advanceWhile(() -> !promotionSent);
     loseWithItsDisk(leader);
-    assertServesWithTheReturnedOne();
+    assertLeaderExistsAndReturnedControllerVotes();
   }
 
   /**
-   * An operator, or the simulator, takes the next machine once the first one is shown as a voter.
-   * It was shown so while the promotion stood in the leader's log alone; with both messages lost on
-   * their way nothing was left of it. Seen in the simulator, one seed of 1,000: entry 21, {@code
-   * [c2, c3, c1']}, was sent at 9,247 ms and arrived nowhere; c2 was lost within 50 ms, and the
-   * voters that were left in force were {@code [c2, c3]}.
+   * An operator may stop the next controller once the returned one is shown as a voter, so it must
+   * not be shown as one while only the leader's log contains the promotion. In the simulator, with
+   * one seed of 1,000, entry 21 {@code [c2, c3, c1']} was lost on its way to both other controllers
+   * and c2, the leader, was lost within 50 ms; the latest voters were then {@code [c2, c3]}.
    */
   @Test
-  public void aControllerIsShownAsAVoterOnceTheLeaderIsNotTheOnlyOneWhoKnows() {
+  public void promotionIsShownOnlyOnceItIsCommitted() {
     AgreementNode leader = leaderAboutToPromote();
-    losesPromotions = true;
-    passWhile(() -> !promotionSent);
-    pass(ANSWERED_MILLIS);
-    assertFalse(leader.voters().voters().contains(returned), "nobody else has heard of it");
-    losesPromotions = false;
-    passWhile(() -> !leader.voters().voters().contains(returned));
+    dropPromotions = true;
+    advanceWhile(() -> !promotionSent);
+    advance(ROUND_TRIP_MILLIS);
+    assertFalse(leader.voters().voters().contains(returned), "the promotion is not committed");
+    dropPromotions = false;
+    advanceWhile(() -> !leader.voters().voters().contains(returned));
     loseWithItsDisk(leader);
-    assertServesWithTheReturnedOne();
+    assertLeaderExistsAndReturnedControllerVotes();
   }
 
   /**
-   * A machine is taken out for good and one with another name added. The leader took itself for the
-   * lost voter, since it never answers itself, and removed itself; the voters that were left were
-   * the lost one and one other, and no operator's change was accepted any more. Seen on a hunted
-   * day: {@code changes voters to [neihu, xitun]} by the leader qianzhen, then {@code steps down}.
+   * A controller is lost for good and one with another name is added. The new controller must
+   * replace the lost voter. A leader that tracked its own responses, of which there are none, took
+   * itself for the lost voter and removed itself; the remaining voters were the lost one and one
+   * other, and no operator's change was accepted any more.
    */
   @Test
-  public void aSpareTakesTheLostVotersPlaceAndNotTheLeaders() {
+  public void learnerReplacesTheLostVoterAndNotTheLeader() {
     settings = AgreementSettings.DEFAULT.withMaxVoters(VOTERS.size());
-    AgreementNode leader = leaderOfAllVoters();
+    AgreementNode leader = startVotersAndElectLeader();
     String lost =
         VOTERS.stream().filter(each -> !each.equals(leader.identity())).findFirst().orElseThrow();
-    gone.add(lost);
+    lostNodes.add(lost);
     RecordLog empty = RecordLog.open(new MemoryDisk(), VoterSetCodec.codec());
     empty.saveQuorumState(new QuorumState("d@1", 0, ""));
     startNode("d@1", empty);
     leader.receive(new JoinRequest("d@1", 0));
-    clock.advanceTimeBy(PATIENCE);
-    assertTrue(leader.isLeader(), "leads on");
+    clock.advanceTimeBy(TIMEOUT);
+    assertTrue(leader.isLeader(), "is still the leader");
     List<String> voters = leader.voters().voters();
     assertEquals(voters.size(), VOTERS.size(), voters.toString());
     assertTrue(voters.contains("d@1") && voters.contains(leader.identity()), voters.toString());
