--- a/server/src/main/java/org/streamcourse/connection/member/LinkAllowance.java
+++ b/server/src/main/java/org/streamcourse/connection/member/LinkAllowance.java
@@ -25,7 +25,7 @@
 
   /** Most links, 0 when this node asks others. */
   int most() {
-    return standsIn ? Math.max(share.links(), share.standInLinks()) : share.links();
+    return standsIn ? Math.max(share.links(), share.fallbackLinks()) : share.links();
   }
 
   /** Whether another node is asked first although this one holds links. */
@@ -36,7 +36,7 @@
   /** Begins to stand in, or goes on, where it may; returns whether it begins. */
   boolean standIn(long now) {
     standsInUntilMillis = now + STAND_IN_MILLIS;
-    boolean begins = !standsIn && share.standInLinks() > share.links();
+    boolean begins = !standsIn && share.fallbackLinks() > share.links();
     standsIn |= begins;
     return begins;
   }
--- a/server/src/main/java/org/streamcourse/connection/member/MemberLinks.java
+++ b/server/src/main/java/org/streamcourse/connection/member/MemberLinks.java
@@ -123,7 +123,7 @@
 
   private void tellRole(LinkShare.Role before, LinkShare share) {
     boolean holds = share.role() != LinkShare.Role.ASKER || before != LinkShare.Role.ASKER;
-    if (share.isOwned() && holds && share.role() != before) {
+    if (share.hasOwner() && holds && share.role() != before) {
       LOG.info(
           "role for a member's connections {} {} {} {} {}",
           keyValue("member", service + '/' + member.id()),
--- a/server/src/main/java/org/streamcourse/connection/member/RelayedLinks.java
+++ b/server/src/main/java/org/streamcourse/connection/member/RelayedLinks.java
@@ -63,7 +63,8 @@
   MemberLink open(LinkRequest request, LinkShare share) {
     MemberLink link = new MemberLink(worker, service, member, request.tenant(), slots, owner);
     MemberRelay.Target target =
-        new MemberRelay.Target(service, member, share.holders(), share.standIns(), share.isOwned());
+        new MemberRelay.Target(
+            service, member, share.holders(), share.fallbackHolders(), share.hasOwner());
     MemberChannel channel = relay.open(target, request, link, this::rest);
     if (channel == null) {
       return null;
--- a/server/src/main/java/org/streamcourse/version/control/MemberObservers.java
+++ b/server/src/main/java/org/streamcourse/version/control/MemberObservers.java
@@ -33,7 +33,10 @@
     Optional<Set<String>> few =
         holders.computeIfAbsent(
             id,
-            any -> service.member(id).flatMap(member -> shares.fewHolders(service.name(), member)));
+            any ->
+                service
+                    .member(id)
+                    .flatMap(member -> shares.designatedHolders(service.name(), member)));
     return node -> few.isEmpty() || few.get().contains(node);
   }
 }
--- a/server/src/main/java/org/streamcourse/version/image/Allowance.java
+++ b/server/src/main/java/org/streamcourse/version/image/Allowance.java
@@ -1,10 +1,10 @@
 package org.streamcourse.version.image;
 
 /**
- * The part of a member's limits that one gateway node may use.
+ * The share of a member's limits that one gateway may use.
  *
- * @param node gateway's node name
- * @param connections most connections it may hold
- * @param slots most statements it may have running
+ * @param node name of the gateway's node
+ * @param connections maximum number of pooled connections
+ * @param slots maximum number of running statements
  */
 public record Allowance(String node, int connections, int slots) {}
--- a/server/src/main/java/org/streamcourse/version/image/ChangeValidator.java
+++ b/server/src/main/java/org/streamcourse/version/image/ChangeValidator.java
@@ -11,16 +11,16 @@
 import org.streamcourse.version.image.ClusterChange.NodeDrained;
 import org.streamcourse.version.image.ClusterChange.RulesChanged;
 
-/** Checks an operator's change against the image to which it would be applied. */
+/** Validates an operator's change against the image to which it would be applied. */
 public final class ChangeValidator {
   private ChangeValidator() {}
 
   /**
-   * Checks a change.
+   * Validates a change.
    *
    * @param image image before the change
-   * @param change what the operator asked for
-   * @return what is wrong, naming the field, or nothing
+   * @param change requested change
+   * @return description of the first problem; empty for a valid change
    */
   public static Optional<String> check(ClusterImage image, ConfigurationChange change) {
     if (change instanceof GroupCreated created) {
--- a/server/src/main/java/org/streamcourse/version/image/ClusterChange.java
+++ b/server/src/main/java/org/streamcourse/version/image/ClusterChange.java
@@ -2,15 +2,18 @@
 
 import java.util.List;
 
-/** One step from a version to the next. Applying the same steps gives the same image everywhere. */
+/**
+ * A change that leads from one version of the image to the next. Applying the same changes in the
+ * same order gives the same image on each process.
+ */
 public sealed interface ClusterChange {
-  /** A change that an operator asked for; only these count in the configuration's version. */
+  /** A change that an operator requested; only these increase the configuration version. */
   sealed interface ConfigurationChange extends ClusterChange {}
 
   /**
    * Creates a group.
    *
-   * @param group new group, without primary
+   * @param group new group, without a primary
    */
   record GroupCreated(GroupImage group) implements ConfigurationChange {}
 
@@ -34,8 +37,8 @@
    *
    * @param group group's name
    * @param member member's name
-   * @param connections most connections
-   * @param slots most running statements
+   * @param connections maximum number of connections
+   * @param slots maximum number of running statements
    */
   record LimitsChanged(String group, String member, int connections, int slots)
       implements ConfigurationChange {}
@@ -59,7 +62,7 @@
   record NodeDrained(String node, boolean draining) implements ConfigurationChange {}
 
   /**
-   * Admits a node or a new incarnation of it.
+   * Admits a node or a new incarnation of a node.
    *
    * @param node the node
    */
@@ -69,12 +72,12 @@
    * Removes a lost or stopped node.
    *
    * @param node node's name
-   * @param incarnation incarnation that is gone
+   * @param incarnation incarnation that was lost or has stopped
    */
   record NodeRemoved(String node, long incarnation) implements ClusterChange {}
 
   /**
-   * Opens a term: the former primary is replaced and nobody is primary yet.
+   * Opens a term, in which the group has no primary until one is chosen.
    *
    * @param group group's name
    * @param term new term
@@ -82,7 +85,7 @@
   record TermOpened(String group, long term) implements ClusterChange {}
 
   /**
-   * Names the primary of an opened term.
+   * Sets the primary of an opened term.
    *
    * @param group group's name
    * @param term the term
@@ -91,8 +94,8 @@
   record PrimaryChosen(String group, long term, String member) implements ClusterChange {}
 
   /**
-   * Opens a term and names its primary in one step, for a planned change whose target holds the
-   * whole log. Without effect unless it follows the present term directly.
+   * Opens a term and sets its primary in one step, for a planned change of primary whose target has
+   * the complete log. Has no effect unless its term is the current one plus 1.
    *
    * @param group group's name
    * @param term new term
@@ -111,57 +114,57 @@
       implements ClusterChange {}
 
   /**
-   * Replaces the operators' document. Without effect unless its version is above the present one.
+   * Replaces the operators' document. Has no effect unless its version is higher than the current.
    *
    * @param document new document
    */
   record DocumentReplaced(RoutingDocument document) implements ClusterChange {}
 
   /**
-   * Registers a member of a service, or changes what is known of it.
+   * Registers a member of a service, or updates a registered one.
    *
    * @param service service's name
-   * @param member its present state
+   * @param member new state of the member
    */
   record MemberRegistered(String service, RegisteredMember member) implements ClusterChange {}
 
   /**
-   * Removes a member that has left or is lost.
+   * Removes a member that has deregistered or is lost.
    *
    * @param service service's name
-   * @param member its identity
+   * @param member member's identity
    */
   record MemberDeregistered(String service, MemberId member) implements ClusterChange {}
 
   /**
-   * Notes which member of a service is primary.
+   * Records which member of a service is primary.
    *
    * @param service service's name
    * @param member the primary
-   * @param formerTerm term of the last record known of the log of the primary before it; 0 when
-   *     none is known
+   * @param formerTerm term of the last known log record of the former primary; 0 when none is known
    */
   record PrimaryObserved(String service, MemberId member, long formerTerm)
       implements ClusterChange {}
 
   /**
-   * Agrees on ordering a member to become primary; the version of the image that includes this
-   * change is the fence of the order.
+   * Records the order that a member become primary. The version of the image that first includes
+   * this change is the order's fence.
    *
    * @param service service's name
-   * @param target the member
+   * @param target member to promote
    */
   record PromotionOrdered(String service, MemberId target) implements ClusterChange {}
 
   /**
-   * Changes shares of tenants' limits. Only controllers keep these, so it changes no image. Tenants
-   * and holders are named once and then by their place in the order in which they were named: a
-   * change takes 3 to 6 bytes in place of 40, and all controllers get each of them.
+   * Changes shares of tenants' limits. Only controllers keep these shares, so this does not change
+   * the image. Tenants and holders are sent by name once, and from then on by their index in the
+   * order of that: a grant takes 3 to 6 bytes instead of 40, and each controller receives all
+   * grants.
    *
-   * @param basedOn number of the newest change before; without effect after another one
-   * @param tenants tenants named for the first time
-   * @param holders holders named for the first time
-   * @param grants for each change the places of tenant and holder, and the new share
+   * @param basedOn number of the grant that must be the newest; otherwise the change has no effect
+   * @param tenants tenants that have no index yet
+   * @param holders holders that have no index yet
+   * @param grants for each grant the indexes of tenant and holder, and the new share
    */
   record QuotaGranted(long basedOn, List<TenantId> tenants, List<QuotaHolder> holders, int[] grants)
       implements ClusterChange {}
--- a/server/src/main/java/org/streamcourse/version/image/ClusterDelta.java
+++ b/server/src/main/java/org/streamcourse/version/image/ClusterDelta.java
@@ -6,12 +6,12 @@
 /**
  * The changes from one version to a later one.
  *
- * @param fromVersion version to start from
- * @param changes one change a version, in order
+ * @param fromVersion version to which the first change applies
+ * @param changes changes in order, one for each version
  */
 public record ClusterDelta(long fromVersion, List<ClusterChange> changes) {
   /**
-   * Leaves out what only controllers need.
+   * Removes content that only controllers need.
    *
    * @return delta for nodes
    */
--- a/server/src/main/java/org/streamcourse/version/image/ClusterImage.java
+++ b/server/src/main/java/org/streamcourse/version/image/ClusterImage.java
@@ -26,15 +26,15 @@
 import org.streamcourse.version.image.ClusterChange.TermOpened;
 
 /**
- * Everything that the fleet agrees on, at one version. Never changed in place: {@link #apply}
- * returns the next version.
+ * The cluster's agreed configuration and state at one version. Immutable: {@link #apply} returns a
+ * new image.
  *
  * @param version number of changes applied
  * @param configurationVersion number of operators' changes among them
- * @param groups groups by name
+ * @param groups database groups by name
  * @param nodes admitted nodes by name
- * @param document operators' routing document; {@link RoutingDocument#NONE} before the first
- * @param services services with members that register themselves, by name
+ * @param document operators' routing document; {@link RoutingDocument#NONE} until they send one
+ * @param services services, whose members register themselves, by name
  */
 public record ClusterImage(
     long version,
@@ -66,7 +66,7 @@
    * Finds a group.
    *
    * @param name group's name
-   * @return group if there is one
+   * @return group, if it exists
    */
   public Optional<GroupImage> group(String name) {
     return Optional.ofNullable(groups.get(name));
@@ -76,7 +76,7 @@
    * Finds a node.
    *
    * @param name node's name
-   * @return node if it is admitted
+   * @return node, if it is admitted
    */
   public Optional<NodeImage> node(String name) {
     return Optional.ofNullable(nodes.get(name));
@@ -86,7 +86,7 @@
    * Finds a service.
    *
    * @param name service's name
-   * @return service, without members when none has registered
+   * @return service; without members when none has registered
    */
   public ServiceImage service(String name) {
     ServiceImage known = services.get(name);
@@ -94,11 +94,11 @@
   }
 
   /**
-   * Tells whether the image takes more bytes than the changes that led to it, roughly: a change
-   * names one node, member or group, and so does each entry of an image.
+   * Returns whether this image is larger than a number of changes, as an estimate: each change and
+   * each entry of an image contains one node, member or group.
    *
    * @param changes number of changes
-   * @return whether to send them rather than the image
+   * @return true if sending the changes takes fewer bytes than sending the image
    */
   public boolean isLargerThan(long changes) {
     long entries = nodes.size() + groups.size();
@@ -109,7 +109,7 @@
   }
 
   /**
-   * Leaves out what only controllers need.
+   * Removes content that only controllers need.
    *
    * @return image for nodes
    */
@@ -121,8 +121,8 @@
   /**
    * Applies all changes of a delta.
    *
-   * @param delta changes that start at this version
-   * @return later image
+   * @param delta delta that starts at this version
+   * @return resulting image
    */
   public ClusterImage apply(ClusterDelta delta) {
     if (delta.fromVersion() != version) {
@@ -136,17 +136,17 @@
   }
 
   /**
-   * Applies one change. A change that no longer fits (its group is gone, a newer term is open)
-   * takes its version number and has no other effect.
+   * Applies one change. A change that no longer applies (its group was dropped, a newer term is
+   * open) increases the version and has no other effect.
    *
-   * @param change what to apply
+   * @param change change to apply
    * @return next image
    */
   public ClusterImage apply(ClusterChange change) {
     return applyAll(List.of(change));
   }
 
-  /** Copies the tables once, however many changes there are; what did not change is shared. */
+  /** Copies the maps once for all changes; their values are shared with this image. */
   private ClusterImage applyAll(List<ClusterChange> changes) {
     long nextConfiguration = configurationVersion;
     TreeMap<String, GroupImage> nextGroups = new TreeMap<>(groups);
@@ -175,7 +175,7 @@
         nextVersion, nextConfiguration, nextGroups, nextNodes, nextDocument, nextServices);
   }
 
-  /** Returns whether the change is one of a service. */
+  /** Applies a change of a service; returns false for any other change. */
   private static boolean applyToServices(
       ClusterChange change, TreeMap<String, ServiceImage> services, long version) {
     if (change instanceof MemberRegistered registered) {
--- a/server/src/main/java/org/streamcourse/version/image/GroupImage.java
+++ b/server/src/main/java/org/streamcourse/version/image/GroupImage.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * One database group.
+ * A database group: members that replicate one log.
  *
  * @param name group's name; callers use it as the database name
- * @param term newest term opened for it
+ * @param term newest term opened for the group
  * @param primary name of the primary in that term; empty while a change of primary is under way
- * @param members its members
+ * @param members members of the group
  * @param rules session rules
  */
 public record GroupImage(
@@ -23,7 +23,7 @@
   /**
    * Returns the size of a majority.
    *
-   * @return least number of members that decides
+   * @return smallest number of members that is a majority
    */
   public int majority() {
     return members.size() / 2 + 1;
@@ -33,7 +33,7 @@
    * Finds a member.
    *
    * @param member member's name
-   * @return member if there is one
+   * @return member, if the group has it
    */
   public Optional<MemberImage> member(String member) {
     return members.stream().filter(each -> each.name().equals(member)).findFirst();
@@ -42,14 +42,14 @@
   /**
    * Finds the primary.
    *
-   * @return primary unless a change is under way
+   * @return primary; empty while a change of primary is under way
    */
   public Optional<MemberImage> primaryMember() {
     return member(primary);
   }
 
   /**
-   * Replaces a member of the same name.
+   * Replaces the member of the same name.
    *
    * @param changed new state of the member
    * @return changed group
--- a/server/src/main/java/org/streamcourse/version/image/KeyDigest.java
+++ b/server/src/main/java/org/streamcourse/version/image/KeyDigest.java
@@ -7,8 +7,8 @@
 
 /**
  * The first 128 bits of the SHA-256 of an access key. Keys are long and random, so the digest needs
- * no salt: nobody can find the key, or another one with its digest, by trying. Only digests leave
- * the place where a key is read.
+ * no salt: a brute-force search cannot find the key or another one with the same digest. The code
+ * that reads a key passes only its digest on.
  *
  * @param high first 64 bits
  * @param low next 64 bits
@@ -17,10 +17,10 @@
   private static final String ALGORITHM = "SHA-256";
 
   /**
-   * Makes the digest of a key.
+   * Computes the digest of a key.
    *
-   * @param key the key as it was received
-   * @return its digest
+   * @param key key as it was received
+   * @return digest
    */
   public static KeyDigest of(byte[] key) {
     try {
@@ -39,7 +39,7 @@
     return bits;
   }
 
-  /** Takes the same time whatever differs. */
+  /** Compares in constant time. */
   boolean matches(KeyDigest other) {
     return ((high ^ other.high) | (low ^ other.low)) == 0;
   }
--- a/server/src/main/java/org/streamcourse/version/image/LinkShare.java
+++ b/server/src/main/java/org/streamcourse/version/image/LinkShare.java
@@ -3,50 +3,54 @@
 import java.util.List;
 
 /**
- * A node's part of the connections and slots that a member has.
+ * A node's share of a member's connections and slots.
  *
- * @param role what the node does for the member
- * @param links most links that the node may have
- * @param slots commands that the node may have under way at the member; 0 when it need not count
- *     them
- * @param holders nodes to ask when it may have none, the one to ask first in front
- * @param standIns nodes to ask while none of the holders can be asked, the nearest in front
- * @param standInLinks most links that the node may have while it stands in for the holders; 0 when
- *     it may not
+ * @param role the node's role for the member
+ * @param links maximum number of member links that the node may have
+ * @param slots maximum number of commands that the node may have running at the member; {@link
+ *     #UNCOUNTED_SLOTS} when it does not count them
+ * @param holders nodes to which the node relays statements that it cannot run on a link of its own,
+ *     in the order in which they are tried
+ * @param fallbackHolders nodes to which the node relays while no holder can be reached, nearest
+ *     first
+ * @param fallbackLinks maximum number of member links that the node may have while it is a fallback
+ *     holder; 0 if it may not be one
  */
 public record LinkShare(
     Role role,
     int links,
     int slots,
     List<String> holders,
-    List<String> standIns,
-    int standInLinks) {
-  /** For a node that need not count what is under way at a member. */
+    List<String> fallbackHolders,
+    int fallbackLinks) {
+  /** Value of {@link #slots} for a node that does not count the commands running at a member. */
   static final int UNCOUNTED_SLOTS = 0;
 
-  /** What a node does for a member. */
+  /** Role of a node for a member. */
   public enum Role {
-    /** It has an equal part like every other node, or is one of a fleet with equal holders. */
+    /**
+     * Any node where connections are divided into equal shares, among all nodes or some holders.
+     */
     SHARER,
-    /** It holds the member's connections and shares out its slots, alone. */
+    /** The one holder that has most of the member's connections and assigns its slots. */
     OWNER,
-    /** It watches the member, and takes over while the owner can't be asked. */
+    /** A holder that watches the member and takes over while the owner cannot be reached. */
     STANDBY,
-    /** It has no connections, and asks the holders. */
+    /** A node without connections to the member, which relays statements to the holders. */
     ASKER
   }
 
   /** Makes the lists unmodifiable. */
   public LinkShare {
     holders = List.copyOf(holders);
-    standIns = List.copyOf(standIns);
+    fallbackHolders = List.copyOf(fallbackHolders);
   }
 
   /**
    * Creates the share of a node in a fleet in which every node holds connections.
    *
-   * @param links most links that the node may have
-   * @param others nodes to ask when it gets none
+   * @param links maximum number of member links that the node may have
+   * @param others nodes to which the node relays when it has no free link
    * @return share
    */
   public static LinkShare ofEveryNode(int links, List<String> others) {
@@ -54,7 +58,7 @@
   }
 
   /**
-   * Creates the share of a node that does nothing for a member.
+   * Creates the share of a node without connections or known holders.
    *
    * @return share without links
    */
@@ -63,12 +67,12 @@
   }
 
   /**
-   * Tells whether the member's connections are with one owner, so that the holders are asked in
-   * their order whoever the tenant is, and a refusal of the first for want of room is final.
+   * Returns whether one owner has the member's connections. The holders are then tried in their
+   * order for every tenant, and a refusal by the first one for lack of capacity is final.
    *
-   * @return false where holders have equal parts
+   * @return false where holders have equal shares
    */
-  public boolean isOwned() {
+  public boolean hasOwner() {
     return role != Role.SHARER;
   }
 }
--- a/server/src/main/java/org/streamcourse/version/image/LinkShares.java
+++ b/server/src/main/java/org/streamcourse/version/image/LinkShares.java
@@ -10,115 +10,129 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Divides the connections that members accept among the nodes of an image.
+ * Divides the connections that members accept (member links) among the nodes of an image.
  *
- * <p>Where the connections suffice, every node has the same part of each member's. Otherwise a few
- * nodes near the member hold them, chosen by rendezvous hashing, so that an added or lost node
- * changes at most one holder of a member; all others bring their statements to these.
+ * <p>If there are enough connections, every node gets an equal share of each member's. Otherwise a
+ * few nodes near the member hold them, chosen by rendezvous hashing, so that adding or losing a
+ * node changes at most one holder of a member; all other nodes relay their statements to the
+ * holders.
  *
  * <p>With tenants, one holder owns the connections together with the member's slots, and two others
- * stand by: a connection serves one tenant, so four holders with a quarter each open and end them
- * for one another's tenants. Without tenants any connection serves anybody, and four holders have
- * equal parts: after a start, or when a member comes back, what waited is brought to it by four
- * nodes, of which each has only a part of a core and compiles its code anew.
+ * are standbys. Each connection serves one tenant, so four holders with a quarter each would keep
+ * closing connections of one tenant to open them for another. Without tenants any connection serves
+ * any caller, and four holders have equal shares: after a start, or when a member comes back, the
+ * queued statements are run by four nodes, each of which has only a part of a core and a JVM whose
+ * code is not compiled yet.
  */
 public final class LinkShares {
-  /** Connections of each member that are left for the controllers' questions. */
+  /** Connections of each member that are reserved for the controllers' queries. */
   private static final int RESERVED_CONNECTIONS = 1;
 
   private static final int DEFAULT_CONNECTIONS = 16;
 
   /**
-   * Links that each node must get for every node to hold some. With fewer, requests wait for a link
-   * of their node while others stand idle; the table of rounds in docs/POLICIES.md has the figures.
+   * Smallest equal share with which every node holds member links. With fewer links a node,
+   * requests wait for a link of their node while links of other nodes are idle; see the table in
+   * docs/POLICIES.md.
    */
-  private static final int LEAST_LINKS_A_NODE = 3;
+  private static final int MIN_LINKS_PER_NODE = 3;
 
   /**
-   * An owner and two standbys: one may be down and another be cut off. Standbys also tell the
-   * controllers whether the member lives, for which one node's word is too little.
+   * An owner and two standbys, so that one may be down and another unreachable. Standbys also
+   * report to the controllers whether the member is reachable; a single node's report is not
+   * enough.
    */
-  private static final int HOLDERS = 3;
+  private static final int OWNER_AND_STANDBYS = 3;
 
-  /** Holders with equal parts: one may be down and another be cut off. */
-  private static final int EQUAL_HOLDERS = 4;
+  /** Most holders with equal shares, so that one may be down and another unreachable. */
+  private static final int MAX_EQUAL_HOLDERS = 4;
 
-  /** Nodes of the member's region below which nodes of other regions hold equal parts too. */
-  private static final int LEAST_EQUAL_HOLDERS = 2;
+  /** Number of nodes in the member's region below which other regions' nodes are holders too. */
+  private static final int MIN_EQUAL_HOLDERS = 2;
 
   /**
-   * Equal parts that are left free, for a holder that follows one whose links still end, and for a
-   * node that stands in for holders of which none can be asked.
+   * Equal shares left unassigned, for a new holder while the former one is still closing its links,
+   * and for a fallback holder while no holder can be reached.
    */
-  private static final int SPARE_PARTS = 1;
+  private static final int SPARE_SHARES = 1;
 
   private static final int SAME_ZONE = 0;
   private static final int SAME_REGION = 1;
 
-  /** Nodes that others ask where every node holds links: one may be down, another be cut off. */
-  private static final int MOST_ASKED = 4;
+  /**
+   * Holders listed for a node where every node holds links, so that one may be down and another
+   * unreachable.
+   */
+  private static final int MAX_LISTED_HOLDERS = 4;
 
   /**
-   * Part of the usable connections that the owner has: with 86 tenants of unequal size before 55
-   * connections each one fewer is an opening more for some statements, so little is left free. An
-   * owner that follows one whose links still end waits for those that the member refuses.
+   * Fraction of the usable connections that the owner gets. Little is left unassigned, since with
+   * 86 tenants of unequal size and 55 connections, each connection fewer makes more statements wait
+   * for one to be opened. While the former owner is still closing its links, the member refuses
+   * some connections of the new owner, which then waits for them.
    */
-  private static final double OWNERS_SHARE = 0.8;
+  private static final double OWNER_FRACTION = 0.8;
 
-  /** Part that each standby has, to watch the member and until it is the owner itself. */
-  private static final double STANDBYS_SHARE = 0.1;
+  /**
+   * Fraction of the usable connections that each standby gets, to watch the member and to serve
+   * statements until it becomes the owner.
+   */
+  private static final double STANDBY_FRACTION = 0.1;
 
   /**
-   * Nodes that may stand in for a member's holders. Where three of four nodes lose power at once,
-   * one of eight is left in nine cases of ten.
+   * Maximum number of a member's fallback holders. If three of four nodes lose power at once, at
+   * least one of eight is left in nine cases out of ten.
    */
-  private static final int MOST_STAND_INS = 8;
+  private static final int MAX_FALLBACK_HOLDERS = 8;
 
   private static final LongHashFunction HASH = LongHashFunction.xx();
 
   private record Candidate(String node, long weight) {}
 
-  private static final Comparator<Candidate> HEAVIEST_FIRST =
+  private static final Comparator<Candidate> HIGHEST_WEIGHT_FIRST =
       Comparator.comparingLong(Candidate::weight).reversed();
 
   private final ClusterImage image;
-  private final Map<String, Placement> zones = new HashMap<>();
+  private final Map<String, Placement> placementByZone = new HashMap<>();
   private final Map<String, List<List<NodeImage>>> nodesByDistance = new HashMap<>();
 
   /**
-   * Looks at an image.
+   * Creates the shares of an image.
    *
-   * @param image the image
+   * @param image image whose nodes share the connections
    */
   public LinkShares(ClusterImage image) {
     this.image = image;
-    image.nodes().values().forEach(node -> zones.put(node.placement().zone(), node.placement()));
+    image
+        .nodes()
+        .values()
+        .forEach(node -> placementByZone.put(node.placement().zone(), node.placement()));
   }
 
   /**
-   * Finds a node's part.
+   * Returns a node's share of a member's connections.
    *
    * @param service service of the member
    * @param member the member
    * @param node name of the node
-   * @return links that the node may have, and the nodes to ask when it gets none
+   * @return number of member links that the node may have, and the holders to which it relays
    */
   public LinkShare of(String service, RegisteredMember member, String node) {
     int usable = usableConnections(service);
-    if (everyNodeHolds(usable)) {
-      List<String> asked = nearest(member, MOST_ASKED);
-      return LinkShare.ofEveryNode(usable / nodes(), inOrderOfNode(node, asked, member));
+    if (everyNodeHoldsLinks(usable)) {
+      List<String> listed = nearest(member, MAX_LISTED_HOLDERS);
+      return LinkShare.ofEveryNode(usable / nodes(), orderedForNode(node, listed, member));
     }
-    int most = hasOwners() ? holders(usable) : equalHolders(member, usable);
-    List<String> near = nearest(member, most + MOST_STAND_INS);
-    List<String> holders = near.subList(0, Math.min(most, near.size()));
-    List<String> standIns = near.subList(holders.size(), near.size());
+    int limit = hasOwners() ? holders(usable) : equalHolders(member, usable);
+    List<String> near = nearest(member, limit + MAX_FALLBACK_HOLDERS);
+    List<String> holders = near.subList(0, Math.min(limit, near.size()));
+    List<String> fallbackHolders = near.subList(holders.size(), near.size());
     return hasOwners()
-        ? ofOwner(member, node, holders, standIns, usable)
-        : ofEqualHolders(member, node, holders, standIns, usable);
+        ? ofOwner(member, node, holders, fallbackHolders, usable)
+        : ofEqualHolders(member, node, holders, fallbackHolders, usable);
   }
 
-  /** Whether one holder owns a member's connections. */
+  /** Returns whether one holder owns a member's connections. */
   private boolean hasOwners() {
     return !image.document().tenants().isEmpty();
   }
@@ -127,23 +141,23 @@
       RegisteredMember member,
       String node,
       List<String> holders,
-      List<String> standIns,
+      List<String> fallbackHolders,
       int usable) {
-    int part = Math.max(1, usable / (holders.size() + SPARE_PARTS));
+    int share = Math.max(1, usable / (holders.size() + SPARE_SHARES));
     return new LinkShare(
         LinkShare.Role.SHARER,
-        holders.contains(node) ? part : 0,
+        holders.contains(node) ? share : 0,
         LinkShare.UNCOUNTED_SLOTS,
-        inOrderOfNode(node, holders, member),
-        without(node, standIns),
-        standIns.contains(node) ? part : 0);
+        orderedForNode(node, holders, member),
+        without(node, fallbackHolders),
+        fallbackHolders.contains(node) ? share : 0);
   }
 
   private static LinkShare ofOwner(
       RegisteredMember member,
       String node,
       List<String> holders,
-      List<String> standIns,
+      List<String> fallbackHolders,
       int usable) {
     LinkShare.Role role = role(node, holders);
     return new LinkShare(
@@ -151,8 +165,8 @@
         linksOf(role, usable),
         member.slots(),
         without(node, holders),
-        without(node, standIns),
-        standInLinks(role, standIns.contains(node), usable));
+        without(node, fallbackHolders),
+        fallbackLinks(role, fallbackHolders.contains(node), usable));
   }
 
   private static LinkShare.Role role(String node, List<String> holders) {
@@ -165,31 +179,32 @@
 
   private static int linksOf(LinkShare.Role role, int usable) {
     return switch (role) {
-      case OWNER -> ownersPart(usable);
-      case STANDBY -> standbysPart(usable);
+      case OWNER -> ownerLinks(usable);
+      case STANDBY -> standbyLinks(usable);
       default -> 0;
     };
   }
 
   /**
-   * A standby may have the owner's part while it serves in its place: transactions that rest hold
-   * links, so with its own part alone it would starve. The member refuses what is too much while
-   * connections of a dark owner still count there.
+   * Returns the links that a node may have as a fallback holder. A standby that replaces the owner
+   * may use the owner's share: open idle transactions occupy links, so its own share would not
+   * suffice. While connections of an unreachable owner still count at the member, the member
+   * refuses the excess ones.
    */
-  private static int standInLinks(LinkShare.Role role, boolean standsIn, int usable) {
+  private static int fallbackLinks(LinkShare.Role role, boolean isFallback, int usable) {
     if (role == LinkShare.Role.STANDBY) {
-      return ownersPart(usable);
+      return ownerLinks(usable);
     }
-    return standsIn ? standbysPart(usable) : 0;
+    return isFallback ? standbyLinks(usable) : 0;
   }
 
-  private static int ownersPart(int usable) {
-    int leftByStandbys = usable - (holders(usable) - 1) * standbysPart(usable);
-    return Math.max(1, Math.min((int) (usable * OWNERS_SHARE), leftByStandbys));
+  private static int ownerLinks(int usable) {
+    int withoutStandbys = usable - (holders(usable) - 1) * standbyLinks(usable);
+    return Math.max(1, Math.min((int) (usable * OWNER_FRACTION), withoutStandbys));
   }
 
-  private static int standbysPart(int usable) {
-    return Math.max(1, (int) (usable * STANDBYS_SHARE));
+  private static int standbyLinks(int usable) {
+    return Math.max(1, (int) (usable * STANDBY_FRACTION));
   }
 
   private static List<String> without(String node, List<String> names) {
@@ -197,18 +212,18 @@
   }
 
   /**
-   * Finds the few holders of a member's connections, which see the member.
+   * Returns the holders of a member's connections. Only these nodes observe the member.
    *
    * @param service service of the member
    * @param member the member
-   * @return names of the nodes, or nothing when every node holds some
+   * @return names of the nodes, or empty when every node holds connections
    */
-  public Optional<Set<String>> fewHolders(String service, RegisteredMember member) {
+  public Optional<Set<String>> designatedHolders(String service, RegisteredMember member) {
     int usable = usableConnections(service);
-    int few = hasOwners() ? holders(usable) : equalHolders(member, usable);
-    return everyNodeHolds(usable)
+    int limit = hasOwners() ? holders(usable) : equalHolders(member, usable);
+    return everyNodeHoldsLinks(usable)
         ? Optional.empty()
-        : Optional.of(Set.copyOf(nearest(member, few)));
+        : Optional.of(Set.copyOf(nearest(member, limit)));
   }
 
   private int usableConnections(String service) {
@@ -225,28 +240,28 @@
     return Math.max(1, image.nodes().size());
   }
 
-  private boolean everyNodeHolds(int usable) {
-    return usable / nodes() >= LEAST_LINKS_A_NODE;
+  private boolean everyNodeHoldsLinks(int usable) {
+    return usable / nodes() >= MIN_LINKS_PER_NODE;
   }
 
   private static int holders(int usable) {
-    return Math.min(HOLDERS, Math.max(1, usable));
+    return Math.min(OWNER_AND_STANDBYS, Math.max(1, usable));
   }
 
   private int equalHolders(RegisteredMember member, int usable) {
     List<List<NodeImage>> byDistance = byDistance(member);
     int near = byDistance.get(SAME_ZONE).size() + byDistance.get(SAME_REGION).size();
-    int most = near < LEAST_EQUAL_HOLDERS ? EQUAL_HOLDERS : Math.min(near, EQUAL_HOLDERS);
-    return Math.min(most, Math.max(1, usable));
+    int limit = near < MIN_EQUAL_HOLDERS ? MAX_EQUAL_HOLDERS : Math.min(near, MAX_EQUAL_HOLDERS);
+    return Math.min(limit, Math.max(1, usable));
   }
 
-  /** Nodes near a member; a longer list begins with a shorter one. */
-  private List<String> nearest(RegisteredMember member, int most) {
+  /** Returns the nodes nearest to a member; a shorter list is a prefix of a longer one. */
+  private List<String> nearest(RegisteredMember member, int limit) {
     String key = member.id().value() + '/';
     List<String> nearest = new ArrayList<>();
     for (List<NodeImage> equallyFar : byDistance(member)) {
-      if (nearest.size() < most) {
-        nearest.addAll(heaviest(equallyFar, key, most - nearest.size()));
+      if (nearest.size() < limit) {
+        nearest.addAll(highestWeights(equallyFar, key, limit - nearest.size()));
       }
     }
     return nearest;
@@ -256,9 +271,12 @@
     return nodesByDistance.computeIfAbsent(member.zone(), this::nodesByDistance);
   }
 
-  /** Sorted by zone once and not for each member: each image is looked at by all nodes. */
+  /**
+   * Groups nodes once per zone instead of once per member, since every node does this for each
+   * image.
+   */
   private List<List<NodeImage>> nodesByDistance(String zone) {
-    Placement placement = zones.getOrDefault(zone, new Placement("", zone));
+    Placement placement = placementByZone.getOrDefault(zone, new Placement("", zone));
     List<List<NodeImage>> nodes = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     for (NodeImage node : image.nodes().values()) {
       nodes.get(node.placement().distanceTo(placement)).add(node);
@@ -266,23 +284,23 @@
     return nodes;
   }
 
-  private static List<String> heaviest(List<NodeImage> nodes, String key, int most) {
+  private static List<String> highestWeights(List<NodeImage> nodes, String key, int limit) {
     List<Candidate> candidates = new ArrayList<>(nodes.size());
     for (NodeImage node : nodes) {
       candidates.add(new Candidate(node.name(), HASH.hashChars(key + node.name())));
     }
-    candidates.sort(HEAVIEST_FIRST);
-    return candidates.stream().limit(most).map(Candidate::node).toList();
+    candidates.sort(HIGHEST_WEIGHT_FIRST);
+    return candidates.stream().limit(limit).map(Candidate::node).toList();
   }
 
-  /** Each node has an order of its own, so that all holders get their part of the work. */
-  private static List<String> inOrderOfNode(
+  /** Orders holders differently for each node, so that the load spreads over all holders. */
+  private static List<String> orderedForNode(
       String node, List<String> holders, RegisteredMember member) {
     String key = node + '/' + member.id().value() + '/';
     return holders.stream()
         .filter(holder -> !holder.equals(node))
         .map(holder -> new Candidate(holder, HASH.hashChars(key + holder)))
-        .sorted(HEAVIEST_FIRST)
+        .sorted(HIGHEST_WEIGHT_FIRST)
         .map(Candidate::node)
         .toList();
   }
--- a/server/src/main/java/org/streamcourse/version/image/MemberId.java
+++ b/server/src/main/java/org/streamcourse/version/image/MemberId.java
@@ -1,17 +1,17 @@
 package org.streamcourse.version.image;
 
 /**
- * Identity of one run of a database member that registers itself. An address may be used again by
- * another member; its identity is never used again.
+ * Identity of one incarnation of a member that registers itself. Another member may reuse its
+ * address; the identity is never reused.
  *
- * @param value identity as the member tells it
+ * @param value identity that the member sends
  */
 public record MemberId(String value) implements Comparable<MemberId> {
   /** No member. */
   public static final MemberId NONE = new MemberId("");
 
   /**
-   * Tells whether this names a member.
+   * Returns whether this identifies a member.
    *
    * @return false for {@link #NONE}
    */
--- a/server/src/main/java/org/streamcourse/version/image/MemberImage.java
+++ b/server/src/main/java/org/streamcourse/version/image/MemberImage.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * One database member.
+ * A member of a database group.
  *
  * @param name member's name, unique in its group
- * @param host IP number
+ * @param host IP address
  * @param port TCP port
  * @param placement region and zone
- * @param connectionLimit connections it accepts from gateways
- * @param slotLimit statements it runs at the same time
- * @param draining true when it must get no new work
- * @param allowances parts of its limits, by gateway; they never add up to more than the limits
+ * @param connectionLimit maximum number of connections from all gateways
+ * @param slotLimit maximum number of statements that the member runs at the same time
+ * @param draining true when the member must get no new work
+ * @param allowances shares of the limits, one for each gateway; their sum never exceeds the limits
  */
 public record MemberImage(
     String name,
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Changes the draining mark.
+   * Sets whether the member is draining.
    *
-   * @param value new mark
+   * @param value new value
    * @return changed member
    */
   public MemberImage withDraining(boolean value) {
@@ -40,7 +40,7 @@
   }
 
   /**
-   * Changes the allowances.
+   * Sets the allowances.
    *
    * @param value new allowances
    * @return changed member
@@ -51,10 +51,10 @@
   }
 
   /**
-   * Changes the limits.
+   * Sets the limits.
    *
-   * @param connections new limit of connections
-   * @param slots new limit of running statements
+   * @param connections maximum number of connections
+   * @param slots maximum number of running statements
    * @return changed member
    */
   public MemberImage withLimits(int connections, int slots) {
@@ -64,8 +64,8 @@
   /**
    * Returns a gateway's allowance.
    *
-   * @param node gateway's node name
-   * @return allowance, or null when the node is no gateway of this member
+   * @param node name of the gateway's node
+   * @return allowance, or null when the node is not a gateway of this member
    */
   public Allowance allowanceOf(String node) {
     for (Allowance allowance : allowances) {
@@ -77,7 +77,7 @@
   }
 
   /**
-   * Returns the nodes with a part of the member's limits.
+   * Returns the nodes that have an allowance, which are the member's gateways.
    *
    * @return node names
    */
--- a/server/src/main/java/org/streamcourse/version/image/NodeImage.java
+++ b/server/src/main/java/org/streamcourse/version/image/NodeImage.java
@@ -1,21 +1,21 @@
 package org.streamcourse.version.image;
 
 /**
- * One admitted node of the fleet.
+ * An admitted node of the fleet.
  *
  * @param name node's name
- * @param incarnation number that differs for each start of the node
- * @param host IP number for links from other nodes
- * @param port TCP port for links
+ * @param incarnation number of one run of the node's process; differs for each start
+ * @param host IP address for peer links
+ * @param port TCP port for peer links
  * @param placement region and zone
- * @param draining true when it must get no new work
+ * @param draining true when the node must get no new work
  */
 public record NodeImage(
     String name, long incarnation, String host, int port, Placement placement, boolean draining) {
   /**
-   * Changes the draining mark.
+   * Sets whether the node is draining.
    *
-   * @param value new mark
+   * @param value new value
    * @return changed node
    */
   public NodeImage withDraining(boolean value) {
--- a/server/src/main/java/org/streamcourse/version/image/Placement.java
+++ b/server/src/main/java/org/streamcourse/version/image/Placement.java
@@ -1,7 +1,7 @@
 package org.streamcourse.version.image;
 
 /**
- * Where a machine stands.
+ * Region and zone of a node or member.
  *
  * @param region region name
  * @param zone zone name, unique among all regions
@@ -12,7 +12,7 @@
   private static final int OTHER_REGION = 2;
 
   /**
-   * Ranks how far another placement is.
+   * Returns the distance to another placement.
    *
    * @param other another placement
    * @return 0 in the same zone, 1 in the same region, 2 elsewhere
--- a/server/src/main/java/org/streamcourse/version/image/QuotaHolder.java
+++ b/server/src/main/java/org/streamcourse/version/image/QuotaHolder.java
@@ -3,11 +3,11 @@
 import java.util.Comparator;
 
 /**
- * One run of a node's process. What a former run was given counts as used for a while after it has
- * ended, since nobody knows how much of it was.
+ * An incarnation of a node to which quota is granted. Quota granted to a former incarnation counts
+ * as used for a while after that has ended, since it is not known how much of it was used.
  *
  * @param node node's name
- * @param run number of the run
+ * @param run number of the incarnation
  */
 public record QuotaHolder(String node, long run) implements Comparable<QuotaHolder> {
   private static final Comparator<QuotaHolder> ORDER =
--- a/server/src/main/java/org/streamcourse/version/image/RouteRule.java
+++ b/server/src/main/java/org/streamcourse/version/image/RouteRule.java
@@ -3,15 +3,15 @@
 /**
  * How the statements for one database name are served.
  *
- * @param database name under which callers connect
- * @param service service that holds the data
- * @param consistency what reads must have seen
- * @param timeoutMillis longest time for one statement
- * @param targetLatencyMillis time within which an operation should be answered
- * @param priority 0 is served first
- * @param attempts most members to which one statement may be offered
- * @param maxStalenessMillis oldest answer that a read may get; 0 for routes without this limit
- * @param needsKey whether callers must show a tenant's key
+ * @param database database name with which callers connect
+ * @param service service that has the data
+ * @param consistency commits that reads must observe
+ * @param timeoutMillis time limit for one statement
+ * @param targetLatencyMillis time within which an operation should complete
+ * @param priority 0 is served first, then 1 and so on
+ * @param attempts maximum number of members on which one statement may be tried
+ * @param maxStalenessMillis maximum staleness of a read's result; 0 for no limit
+ * @param needsKey whether callers must present a tenant's key
  */
 public record RouteRule(
     String database,
--- a/server/src/main/java/org/streamcourse/version/image/RoutingDocument.java
+++ b/server/src/main/java/org/streamcourse/version/image/RoutingDocument.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * The operators' configuration as one document with a version of their own. The highest version
- * holds.
+ * The operators' routing configuration as one document. Operators assign its version; the document
+ * with the highest version applies.
  *
- * @param version operators' version; rises in uneven steps
+ * @param version version that operators assigned; increases, possibly by more than 1
  * @param routes routes, one for each database name
- * @param services services that routes may name
- * @param limits limits of sessions
- * @param tenants whose keys callers show
- * @param source the document as it was received, for reading it back; it holds the keys themselves
+ * @param services services to which routes may refer
+ * @param limits session limits
+ * @param tenants tenants whose keys callers may present
+ * @param source the document as it was received, for reading it back; contains the keys themselves
  */
 public record RoutingDocument(
     long version,
@@ -21,7 +21,7 @@
     SessionLimits limits,
     List<TenantRule> tenants,
     String source) {
-  /** The document before the first one. */
+  /** Stands for the document while operators have sent none. */
   public static final RoutingDocument NONE =
       new RoutingDocument(-1, List.of(), List.of(), SessionLimits.DEFAULT, List.of(), "");
 
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Leaves out the source, which only those need who are asked to read the document back.
+   * Removes the source, which only controllers need, for reading the document back.
    *
    * @return the same document with an empty source
    */
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Tells whether operators have sent a document.
+   * Returns whether operators have sent a document.
    *
    * @return false for {@link #NONE}
    */
@@ -54,7 +54,7 @@
    * Finds the route of a database name.
    *
    * @param database name
-   * @return route if there is one
+   * @return route, if the document has one
    */
   public Optional<RouteRule> route(String database) {
     return routes.stream().filter(route -> route.database().equals(database)).findFirst();
@@ -64,33 +64,34 @@
    * Finds the rules of a service.
    *
    * @param name service's name
-   * @return rules if the document has them
+   * @return rules, if the document has them
    */
   public Optional<ServiceRules> service(String name) {
     return services.stream().filter(service -> service.name().equals(name)).findFirst();
   }
 
   /**
-   * Finds who holds a key, in the same time for each key.
+   * Finds the tenant that a key belongs to. Takes the same time for each key, so that the time does
+   * not reveal which key matched.
    *
-   * @param key digest of the key that a caller showed
-   * @return its tenant, if the document has the key
+   * @param key digest of the key that a caller presented
+   * @return the key's tenant, if the document has the key
    */
   public Optional<TenantRule> tenantOf(KeyDigest key) {
-    TenantRule holder = null;
+    TenantRule match = null;
     for (TenantRule tenant : tenants) {
-      holder = tenant.holds(key) ? tenant : holder;
+      match = tenant.hasKey(key) ? tenant : match;
     }
-    return Optional.ofNullable(holder);
+    return Optional.ofNullable(match);
   }
 
   /**
-   * Finds whose work a caller's statement is.
+   * Determines the tenant to which a caller's statements are attributed.
    *
    * @param route route of the caller's database
-   * @param key digest of what the caller showed
-   * @return the tenant, {@link TenantId#NONE} on a route without keys, or nothing when no tenant
-   *     holds the key
+   * @param key digest of the key that the caller presented
+   * @return the tenant, {@link TenantId#NONE} on a route without keys, or empty when no tenant has
+   *     the key
    */
   public Optional<TenantId> callerOf(RouteRule route, KeyDigest key) {
     return route.needsKey() ? tenantOf(key).map(TenantRule::id) : Optional.of(TenantId.NONE);
@@ -100,16 +101,16 @@
    * Finds the rules of a tenant.
    *
    * @param id tenant's name
-   * @return rules if the document has them
+   * @return rules, if the document has them
    */
   public Optional<TenantRule> tenant(TenantId id) {
     return tenants.stream().filter(tenant -> tenant.id().equals(id)).findFirst();
   }
 
   /**
-   * Checks what a document must hold by itself.
+   * Validates the document by itself, without the present image.
    *
-   * @return what is wrong, naming the field, or nothing
+   * @return description of the first problem, beginning with the field; empty for a valid document
    */
   public Optional<String> problem() {
     if (version < 0) {
@@ -117,18 +118,18 @@
     }
     for (int i = 0; i < routes.size(); i++) {
       RouteRule route = routes.get(i);
-      String place = "routes[" + i + "].";
+      String field = "routes[" + i + "].";
       if (route.timeoutMillis() < 1) {
-        return Optional.of(place + "timeout: must be at least 1 ms");
+        return Optional.of(field + "timeout: must be at least 1 ms");
       }
       if (service(route.service()).isEmpty()) {
-        return Optional.of(place + "service: '" + route.service() + "' is not among the services");
+        return Optional.of(field + "service: '" + route.service() + "' is not among the services");
       }
     }
     return TenantCheck.problem(tenants);
   }
 
-  /** Leaves the source out, since it holds keys and this text may stand in a line of log. */
+  /** Omits the source: it contains keys, and this text may be logged. */
   @Override
   public String toString() {
     return "document "
--- a/server/src/main/java/org/streamcourse/version/image/ServiceImage.java
+++ b/server/src/main/java/org/streamcourse/version/image/ServiceImage.java
@@ -7,19 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * A database service whose members register themselves and whose primary is changed by an outside
- * agent on the controllers' order.
+ * A database service whose members register themselves and whose primary is changed by an external
+ * promotion agent on the controllers' order.
  *
  * @param name service's name
- * @param primary member that was last known to be primary; {@link MemberId#NONE} when none was
- * @param promotion member that the outside agent was last ordered to make primary; {@link
+ * @param primary member last known to be primary; {@link MemberId#NONE} when none is known
+ * @param promotion member that the promotion agent has been ordered to make primary; {@link
  *     MemberId#NONE} when no order is open
- * @param fence version of the cluster image at which that order was agreed; rises with each order
+ * @param fence version of the cluster image at which the last order was recorded; increases with
+ *     each order
  * @param members registered members by identity
- * @param departed identities that have left and never come back, oldest first
- * @param formerPrimaries members that another one has replaced as primary, each with the term of
- *     the last record that was known of its log then; until it has records of a later term it may
- *     hold records that the change has dropped
+ * @param departed identities of removed members, oldest first; an identity is never reused
+ * @param formerPrimaries members that were replaced as primary, each with the term of its last
+ *     known log record at that time; until the member has records of a later term, its log may
+ *     contain records that the change of primary has discarded
  */
 public record ServiceImage(
     String name,
@@ -29,7 +30,7 @@
     TreeMap<MemberId, RegisteredMember> members,
     List<MemberId> departed,
     TreeMap<MemberId, Long> formerPrimaries) {
-  private static final int KEPT_DEPARTED = 256;
+  private static final int MAX_DEPARTED = 256;
 
   /** Makes the list unmodifiable. */
   public ServiceImage {
@@ -50,8 +51,8 @@
   /**
    * Finds a member.
    *
-   * @param id its identity
-   * @return member if it is registered
+   * @param id member's identity
+   * @return member, if it is registered
    */
   public Optional<RegisteredMember> member(MemberId id) {
     return Optional.ofNullable(members.get(id));
@@ -69,7 +70,7 @@
   /**
    * Adds or replaces a member.
    *
-   * @param member its new state
+   * @param member new state of the member
    * @return changed service
    */
   public ServiceImage withMember(RegisteredMember member) {
@@ -79,9 +80,9 @@
   }
 
   /**
-   * Removes a member that has left for good.
+   * Removes a member for good.
    *
-   * @param id its identity
+   * @param id member's identity
    * @return changed service
    */
   public ServiceImage withoutMember(MemberId id) {
@@ -89,7 +90,7 @@
     next.remove(id);
     List<MemberId> nextDeparted = new ArrayList<>(departed);
     nextDeparted.add(id);
-    if (nextDeparted.size() > KEPT_DEPARTED) {
+    if (nextDeparted.size() > MAX_DEPARTED) {
       nextDeparted.remove(0);
     }
     MemberId nextPrimary = primary.equals(id) ? MemberId.NONE : primary;
@@ -101,10 +102,10 @@
   }
 
   /**
-   * Notes the present primary; this closes an open order.
+   * Sets the current primary; this closes an open order.
    *
-   * @param id the primary
-   * @param formerTerm term of the last record known of the log of the primary before it
+   * @param id primary's identity
+   * @param formerTerm term of the last known log record of the former primary
    * @return changed service
    */
   public ServiceImage withPrimary(MemberId id, long formerTerm) {
@@ -117,10 +118,10 @@
   }
 
   /**
-   * Notes that a member is to become primary.
+   * Opens an order that a member become primary.
    *
-   * @param target the member
-   * @param newFence version at which this was agreed
+   * @param target member to promote
+   * @param newFence version of the cluster image that includes the order
    * @return changed service
    */
   public ServiceImage withPromotion(MemberId target, long newFence) {
--- a/server/src/main/java/org/streamcourse/version/image/SessionLimits.java
+++ b/server/src/main/java/org/streamcourse/version/image/SessionLimits.java
@@ -3,9 +3,9 @@
 /**
  * Limits of callers' sessions.
  *
- * @param transactionIdleMillis longest rest within a transaction before it is ended
+ * @param transactionIdleMillis time for which a transaction may be idle before it is aborted
  */
 public record SessionLimits(long transactionIdleMillis) {
-  /** Limits when the operators name none. */
+  /** Limits that apply while operators have set none. */
   public static final SessionLimits DEFAULT = new SessionLimits(3_000);
 }
--- a/server/src/main/java/org/streamcourse/version/image/TenantCheck.java
+++ b/server/src/main/java/org/streamcourse/version/image/TenantCheck.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Checks the tenants of a document. What is wrong is named by its field, never by a key's text. */
+/** Validates the tenants of a document. Problems are described by field, never by a key's text. */
 final class TenantCheck {
   private final Set<TenantId> names = new HashSet<>();
-  private final Map<KeyDigest, Integer> holders = new HashMap<>();
+  private final Map<KeyDigest, Integer> tenantIndexByKey = new HashMap<>();
 
   private TenantCheck() {}
 
-  /** What is wrong with the first tenant that is wrong. */
+  /** Returns the problem of the first invalid tenant, if any. */
   static Optional<String> problem(List<TenantRule> tenants) {
     TenantCheck check = new TenantCheck();
     for (int i = 0; i < tenants.size(); i++) {
@@ -27,28 +27,28 @@
   }
 
   private Optional<String> problem(int index, TenantRule tenant) {
-    String place = "tenants[" + index + "].";
+    String field = "tenants[" + index + "].";
     if (!tenant.id().isPresent()) {
-      return Optional.of(place + "name: must not be empty");
+      return Optional.of(field + "name: must not be empty");
     }
     if (!names.add(tenant.id())) {
-      return Optional.of(place + "name: another tenant is called '" + tenant.id() + "'");
+      return Optional.of(field + "name: another tenant is called '" + tenant.id() + "'");
     }
     if (tenant.isLimited() && !(tenant.ratePerSecond() >= 0)) {
-      return Optional.of(place + "rate: must not be negative");
+      return Optional.of(field + "rate: must not be negative");
     }
     if (!(tenant.burst() >= 0)) {
-      return Optional.of(place + "burst: must not be negative");
+      return Optional.of(field + "burst: must not be negative");
     }
     if (tenant.priority() < 0) {
-      return Optional.of(place + "priority: must not be negative");
+      return Optional.of(field + "priority: must not be negative");
     }
-    return sharedKey(index, tenant);
+    return duplicateKey(index, tenant);
   }
 
-  private Optional<String> sharedKey(int index, TenantRule tenant) {
+  private Optional<String> duplicateKey(int index, TenantRule tenant) {
     for (int key = 0; key < tenant.keys().size(); key++) {
-      Integer other = holders.putIfAbsent(tenant.keys().get(key), index);
+      Integer other = tenantIndexByKey.putIfAbsent(tenant.keys().get(key), index);
       if (other != null && other != index) {
         return Optional.of(
             "tenants[" + index + "].keys[" + key + "]: tenants[" + other + "] has the same key");
--- a/server/src/main/java/org/streamcourse/version/image/TenantId.java
+++ b/server/src/main/java/org/streamcourse/version/image/TenantId.java
@@ -1,16 +1,16 @@
 package org.streamcourse.version.image;
 
 /**
- * Name of a tenant: whose work a connection to a member does.
+ * Name of a tenant, to which statements and member connections are attributed.
  *
- * @param value name as operators give it
+ * @param value name that operators assigned
  */
 public record TenantId(String value) implements Comparable<TenantId> {
-  /** Nobody's: for routes that need no key, and for the product's own questions. */
+  /** No tenant: for routes that need no key, and for the fleet's own queries. */
   public static final TenantId NONE = new TenantId("");
 
   /**
-   * Tells whether this names a tenant.
+   * Returns whether this is a tenant's name.
    *
    * @return false for {@link #NONE}
    */
--- a/server/src/main/java/org/streamcourse/version/image/TenantRule.java
+++ b/server/src/main/java/org/streamcourse/version/image/TenantRule.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What the operators say of a tenant.
+ * Operators' rules for a tenant.
  *
  * @param id tenant's name
- * @param keys digests of the keys that callers show
- * @param priority 0 is served first
- * @param ratePerSecond operations a second of all nodes together; {@link #UNLIMITED} for no limit
- * @param burst operations beyond that at once
+ * @param keys digests of the tenant's access keys
+ * @param priority 0 is served first, then 1 and so on
+ * @param ratePerSecond operations per second on all nodes together, or {@link #UNLIMITED}
+ * @param burst number of operations allowed at once beyond the rate
  */
 public record TenantRule(
     TenantId id, List<KeyDigest> keys, int priority, double ratePerSecond, double burst) {
@@ -22,20 +22,20 @@
   }
 
   /**
-   * Tells whether the tenant's operations are limited.
+   * Returns whether the tenant's operations are limited.
    *
-   * @return false for any number of operations
+   * @return false for {@link #UNLIMITED}
    */
   public boolean isLimited() {
     return ratePerSecond != UNLIMITED;
   }
 
-  /** Looks at all keys, so that the time taken does not tell which one matches. */
-  boolean holds(KeyDigest key) {
-    boolean holds = false;
+  /** Compares all keys, so that the time taken does not reveal which one matches. */
+  boolean hasKey(KeyDigest key) {
+    boolean found = false;
     for (KeyDigest each : keys) {
-      holds |= each.matches(key);
+      found |= each.matches(key);
     }
-    return holds;
+    return found;
   }
 }
--- a/server/src/main/java/org/streamcourse/version/image/TermPosition.java
+++ b/server/src/main/java/org/streamcourse/version/image/TermPosition.java
@@ -3,15 +3,15 @@
 import java.util.Comparator;
 
 /**
- * A place in a database group's log: the term under which the record was written and its position.
- * The order is by term, then position; a member whose log reaches a place holds every acknowledged
- * record at or before it.
+ * A position in the log of a database group or service: the term in which a record was written, and
+ * its offset. Ordered by term, then offset. A member whose log reaches a position has every
+ * acknowledged record at or before it.
  *
  * @param term term of the record
- * @param position position of the record, from 1; 0 before the first record
+ * @param position offset of the record, from 1; 0 before the first record
  */
 public record TermPosition(long term, long position) implements Comparable<TermPosition> {
-  /** Before any record. */
+  /** Position before the first record. */
   public static final TermPosition ZERO = new TermPosition(0, 0);
 
   private static final Comparator<TermPosition> ORDER =
@@ -22,7 +22,7 @@
    * Parses {@code term:position}.
    *
    * @param text what {@link #toString()} returned
-   * @return place
+   * @return log position
    * @throws NumberFormatException when the text has another form
    */
   public static TermPosition parse(String text) {
@@ -41,20 +41,20 @@
   }
 
   /**
-   * Tells whether a log that ends here includes another place.
+   * Returns whether a log that ends at this position includes another position.
    *
-   * @param floor place that must be included
-   * @return true when this place is at or after it
+   * @param floor position that must be included
+   * @return true when this position is at or after the floor
    */
   public boolean reaches(TermPosition floor) {
     return compareTo(floor) >= 0;
   }
 
   /**
-   * Returns the later of two places.
+   * Returns the later of two positions.
    *
-   * @param other another place
-   * @return the later one
+   * @param other another position
+   * @return the later position
    */
   public TermPosition max(TermPosition other) {
     return compareTo(other) >= 0 ? this : other;
--- a/server/src/main/java/org/streamcourse/version/image/package-info.java
+++ b/server/src/main/java/org/streamcourse/version/image/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What lives as long as a version: immutable images of the cluster and the changes between them.
+ * Immutable images of the cluster's agreed state, one for each version, and the changes between
+ * them.
  */
 package org.streamcourse.version.image;
--- a/server/src/test/java/org/streamcourse/version/image/ClusterImageTest.java
+++ b/server/src/test/java/org/streamcourse/version/image/ClusterImageTest.java
@@ -10,7 +10,9 @@
 import org.streamcourse.version.image.ClusterChange.TermOpened;
 import org.testng.annotations.Test;
 
-/** Of two changes of a group's primary that cross in the log, the first one counts. */
+/**
+ * Of two concurrent changes of a group's primary, the one that is first in the log takes effect.
+ */
 public class ClusterImageTest {
   private static final String GROUP = "bookings";
 
@@ -29,15 +31,15 @@
   }
 
   @Test
-  public void handOverNamesThePrimaryOfTheNextTermOnly() {
+  public void handOverAppliesToTheNextTermOnly() {
     PrimaryHandedOver handOver = new PrimaryHandedOver(GROUP, 4, "m2");
     assertEquals(after(image(3, "m1"), handOver), "m2@4");
-    assertEquals(after(image(4, "m1"), handOver), "m1@4", "a hand-over of the past");
-    assertEquals(after(image(2, "m1"), handOver), "m1@2", "a term was left out");
+    assertEquals(after(image(4, "m1"), handOver), "m1@4", "the term is open already");
+    assertEquals(after(image(2, "m1"), handOver), "m1@2", "the term is not the next one");
   }
 
   @Test
-  public void firstOfTwoCrossingChangesCounts() {
+  public void firstOfTwoConcurrentChangesTakesEffect() {
     PrimaryHandedOver handOver = new PrimaryHandedOver(GROUP, 4, "m2");
     TermOpened opened = new TermOpened(GROUP, 4);
     PrimaryChosen chosen = new PrimaryChosen(GROUP, 4, "m3");
--- a/server/src/test/java/org/streamcourse/version/image/LinkSharesTest.java
+++ b/server/src/test/java/org/streamcourse/version/image/LinkSharesTest.java
@@ -68,26 +68,26 @@
   }
 
   @Test(dataProvider = "fleets")
-  public void allSharesFitIntoTheLimitAndSomeNodeHasOne(int nodes, int zones, int connections) {
+  public void sharesStayWithinTheLimitAndSomeNodeHasLinks(int nodes, int zones, int connections) {
     ClusterImage image = image(nodes, zones, connections);
     int links = image.nodes().keySet().stream().mapToInt(node -> share(image, node).links()).sum();
     assertTrue(links >= 1 && links < connections, links + " links of " + connections);
   }
 
   @Test
-  public void whereEachNodeGetsFewAFewNodesOfTheMembersRegionHoldThem() {
+  public void scarceConnectionsAreHeldByAFewNodesInTheMembersZone() {
     ClusterImage image = image(70, 2, 53);
     Set<String> holders = holders(image);
     assertEquals(holders.size(), 3);
     int owned = 0;
-    assertEquals(new LinkShares(image).fewHolders(SERVICE, MEMBER).orElseThrow(), holders);
+    assertEquals(new LinkShares(image).designatedHolders(SERVICE, MEMBER).orElseThrow(), holders);
     for (String holder : holders) {
       assertEquals(image.nodes().get(holder).placement().zone(), MEMBER.zone());
       boolean owns = share(image, holder).role() == LinkShare.Role.OWNER;
       assertEquals(share(image, holder).links(), owns ? 41 : 5);
       owned += owns ? 1 : 0;
     }
-    assertEquals(owned, 1, "one node shares out the member's slots");
+    assertEquals(owned, 1, "one node assigns the member's slots");
     for (String node : image.nodes().keySet()) {
       Set<String> others = new HashSet<>(holders);
       others.remove(node);
@@ -97,31 +97,32 @@
   }
 
   /**
-   * One node for all work of a member is cold for a second after each start, and is alone with what
-   * waited while the member was away. With 103 nodes and 18 members, holders told of some 1,750
-   * statements refused for want of a slot or connection in the first second after a loss of all
-   * power, 133 with equal parts; 740 timed out in place of 190. Connections without tenants are
-   * alike, so there is nothing for an owner to decide.
+   * Without tenants all connections are interchangeable, so no owner has to assign them, and a
+   * single owner is slow: its code is not compiled in the first second after a start, and it alone
+   * runs all statements that were queued while the member was unreachable. With 103 nodes and 18
+   * members, in the first second after a power loss of all nodes, owners refused some 1,750
+   * statements for lack of a slot or connection and 740 timed out; with equal shares 133 were
+   * refused and 190 timed out.
    */
   @Test
-  public void withoutTenantsHoldersHaveEqualPartsAndLeaveOneFree() {
+  public void withoutTenantsHoldersHaveEqualSharesAndOneShareIsSpare() {
     ClusterImage image = image(103, 2, 79, List.of());
     Set<String> holders = holders(image);
     assertEquals(holders.size(), 4);
-    assertEquals(new LinkShares(image).fewHolders(SERVICE, MEMBER).orElseThrow(), holders);
-    Set<String> askedFirst = new HashSet<>();
+    assertEquals(new LinkShares(image).designatedHolders(SERVICE, MEMBER).orElseThrow(), holders);
+    Set<String> firstChoices = new HashSet<>();
     for (String node : image.nodes().keySet()) {
       LinkShare share = share(image, node);
       assertEquals(share.role(), LinkShare.Role.SHARER, node);
       assertEquals(share.slots(), 0, "slots are not counted");
       assertEquals(share.links(), holders.contains(node) ? 78 / 5 : 0);
-      askedFirst.add(share.holders().get(0));
+      firstChoices.add(share.holders().get(0));
     }
-    assertEquals(askedFirst, holders, "all holders get their part of the work");
+    assertEquals(firstChoices, holders, "each holder is the first choice of some nodes");
   }
 
   @Test
-  public void allNodesAskTheOwnerFirst() {
+  public void allNodesTryTheOwnerFirst() {
     ClusterImage image = image(70, 2, 53);
     for (String node : image.nodes().keySet()) {
       LinkShare share = share(image, node);
@@ -133,7 +134,7 @@
   }
 
   @Test
-  public void aNodeThatIsLostOrAddedChangesOneHolderAtMost() {
+  public void aLostNodeChangesOneHolderAtMost() {
     ClusterImage before = image(70, 2, 53);
     for (NodeImage lost : before.nodes().values()) {
       Set<String> after =
@@ -144,11 +145,11 @@
   }
 
   @Test
-  public void whereConnectionsSufficeEveryNodeHoldsTheSame() {
+  public void sufficientConnectionsAreSharedEquallyByAllNodes() {
     ClusterImage image = image(7, 1, 40);
     for (String node : image.nodes().keySet()) {
       assertEquals(share(image, node).links(), 5);
     }
-    assertTrue(new LinkShares(image).fewHolders(SERVICE, MEMBER).isEmpty());
+    assertTrue(new LinkShares(image).designatedHolders(SERVICE, MEMBER).isEmpty());
   }
 }
