--- a/server/src/main/java/org/streamcourse/version/language/AdminExecutor.java
+++ b/server/src/main/java/org/streamcourse/version/language/AdminExecutor.java
@@ -22,7 +22,7 @@
   /**
    * Creates an executor.
    *
-   * @param controller the leading controller
+   * @param controller controller that is the leader
    */
   public AdminExecutor(Controller controller) {
     this.controller = controller;
@@ -31,8 +31,9 @@
   /**
    * Executes a statement.
    *
-   * @param text its text
-   * @param answer gets the result; a query is answered from a state that a majority confirmed
+   * @param text text of the statement
+   * @param answer receives the result; a SHOW statement is answered once a majority of the voters
+   *     has confirmed that this controller is still the leader
    */
   public void execute(String text, Consumer<AdminResult> answer) {
     try {
--- a/server/src/main/java/org/streamcourse/version/language/AdminStatement.java
+++ b/server/src/main/java/org/streamcourse/version/language/AdminStatement.java
@@ -7,37 +7,37 @@
 
 /** A parsed statement of an operator. */
 public sealed interface AdminStatement {
-  /** What can be shown. */
+  /** Table that a SHOW statement returns. */
   enum Subject {
     /** Database groups. */
     GROUPS,
-    /** Their members. */
+    /** Members of database groups. */
     MEMBERS,
     /** Nodes of the fleet. */
     NODES,
-    /** Sessions of callers, counted by node. */
+    /** Number of callers' sessions on each node. */
     SESSIONS,
-    /** The configuration's version and where it is in force. */
+    /** Versions of configuration and image, and the number of nodes that have the image. */
     VERSIONS,
-    /** Recent decisions. */
+    /** Recent decisions of the leader. */
     DECISIONS,
     /** Controllers. */
     CONTROLLERS,
-    /** Tenants with their limits and what was run of them. */
+    /** Tenants with their limits and numbers of admitted and refused operations. */
     TENANTS
   }
 
-  /** Comparison in a condition. */
+  /** Comparison operator of a condition. */
   enum Operator {
-    /** Same text. */
+    /** Equal text. */
     EQUAL("="),
-    /** Other text. */
+    /** Different text. */
     NOT_EQUAL("<>"),
-    /** Smaller number, or earlier text. */
+    /** Smaller number, or text that sorts before. */
     LESS("<"),
-    /** Larger number, or later text. */
+    /** Larger number, or text that sorts after. */
     GREATER(">"),
-    /** Text pattern with {@code %}. */
+    /** Text pattern, in which {@code %} matches any characters. */
     LIKE("LIKE");
 
     private final String sign;
@@ -59,40 +59,40 @@
   }
 
   /**
-   * Filter on one column.
+   * A filter on one column.
    *
    * @param column column name
-   * @param operator comparison
-   * @param value value to compare with
+   * @param operator comparison operator
+   * @param value value with which the column is compared
    */
   record Condition(String column, Operator operator, String value) {}
 
   /**
-   * A query.
+   * A SHOW statement.
    *
-   * @param subject what to show
-   * @param conditions all must hold
-   * @param orderBy column, empty for the natural order
+   * @param subject table to show
+   * @param conditions conditions that each row must match
+   * @param orderBy column to sort by; empty for the natural order
    * @param descending whether the order is reversed
-   * @param limit most rows
+   * @param limit maximum number of rows
    */
   record Show(
       Subject subject, List<Condition> conditions, String orderBy, boolean descending, int limit)
       implements AdminStatement {}
 
   /**
-   * What a command rests on.
+   * Precondition and identification of a command.
    *
-   * @param expectedVersion configuration version, -1 for any
-   * @param commandId id that tells resends, empty for none
+   * @param expectedVersion configuration version that must be current; -1 for any
+   * @param commandId identifier by which a resent command is recognized; empty for none
    */
   record Precondition(long expectedVersion, String commandId) {}
 
   /**
    * A change of the configuration.
    *
-   * @param change the change
-   * @param precondition what it rests on
+   * @param change requested change
+   * @param precondition precondition of the change
    */
   record Change(ConfigurationChange change, Precondition precondition) implements AdminStatement {}
 
@@ -100,8 +100,8 @@
    * A planned change of primary.
    *
    * @param group group's name
-   * @param member member that shall be primary
-   * @param precondition what it rests on
+   * @param member member that becomes primary
+   * @param precondition precondition of the change
    */
   record SwitchPrimary(String group, String member, Precondition precondition)
       implements AdminStatement {}
--- a/server/src/main/java/org/streamcourse/version/language/AdminViews.java
+++ b/server/src/main/java/org/streamcourse/version/language/AdminViews.java
@@ -22,7 +22,7 @@
 import org.streamcourse.version.language.AdminStatement.Condition;
 import org.streamcourse.version.language.AdminStatement.Show;
 
-/** The tables that operators can show. */
+/** The tables that SHOW statements return. */
 final class AdminViews {
   private record View(List<String> columns, List<List<String>> rows) {}
 
@@ -43,7 +43,7 @@
     Stream<List<String>> rows = view.rows().stream();
     for (Condition condition : show.conditions()) {
       int column = columnIndex(view, condition.column());
-      rows = rows.filter(row -> holds(condition, row.get(column)));
+      rows = rows.filter(row -> matches(condition, row.get(column)));
     }
     if (!show.orderBy().isEmpty()) {
       int column = columnIndex(view, show.orderBy());
@@ -65,22 +65,22 @@
     return index;
   }
 
-  private static boolean holds(Condition condition, String actual) {
+  private static boolean matches(Condition condition, String actual) {
     return switch (condition.operator()) {
       case EQUAL -> actual.equals(condition.value());
       case NOT_EQUAL -> !actual.equals(condition.value());
       case LESS -> compare(actual, condition.value()) < 0;
       case GREATER -> compare(actual, condition.value()) > 0;
-      case LIKE -> like(condition.value()).matcher(actual).matches();
+      case LIKE -> likePattern(condition.value()).matcher(actual).matches();
     };
   }
 
-  private static Pattern like(String pattern) {
+  private static Pattern likePattern(String pattern) {
     String quoted = Pattern.quote(pattern).replace("%", "\\E.*\\Q");
     return Pattern.compile(quoted, Pattern.DOTALL);
   }
 
-  /** Numbers are compared as numbers, anything else as text. */
+  /** Compares two values as numbers if both are integers, otherwise as text. */
   private static int compare(String a, String b) {
     try {
       return Long.compare(Long.parseLong(a), Long.parseLong(b));
@@ -188,7 +188,7 @@
 
   private static View versions(Controller controller) {
     ClusterImage image = controller.image();
-    long inForce = controller.nodesWithVersion(image.version());
+    long upToDate = controller.nodesWithVersion(image.version());
     return new View(
         List.of("configuration_version", "image_version", "nodes", "nodes_in_force"),
         List.of(
@@ -196,7 +196,7 @@
                 Long.toString(image.configurationVersion()),
                 Long.toString(image.version()),
                 Integer.toString(image.nodes().size()),
-                Long.toString(inForce))));
+                Long.toString(upToDate))));
   }
 
   private static View decisions(Controller controller) {
@@ -214,7 +214,7 @@
     return new View(List.of("at_ms", "kind", "subject", "cause", "inputs", "outcome"), rows);
   }
 
-  /** Keys are counted and never shown. */
+  /** Returns one row for each tenant, with the number of its keys and never a key itself. */
   private static View tenants(Controller controller) {
     List<List<String>> rows = new ArrayList<>();
     for (TenantRule rule : controller.image().document().tenants()) {
--- a/server/src/main/java/org/streamcourse/version/language/StatementParser.java
+++ b/server/src/main/java/org/streamcourse/version/language/StatementParser.java
@@ -33,9 +33,7 @@
 import org.streamcourse.version.language.generated.AdminParser.ShowContext;
 import org.streamcourse.version.language.generated.AdminParser.ValueContext;
 
-/**
- * Turns an operator's text into a typed statement; errors name line, column and what was expected.
- */
+/** Parses operators' statements. Errors contain line, column and the expected tokens or values. */
 public final class StatementParser {
   private static final String MAX_STALENESS = "max_staleness_ms";
   private static final String CATCH_UP_WAIT = "catch_up_wait_ms";
@@ -48,7 +46,7 @@
   /**
    * Creates a parser.
    *
-   * @param image image from which a statement that changes part of something takes the rest
+   * @param image image that provides the values that an ALTER statement leaves unchanged
    */
   public StatementParser(ClusterImage image) {
     this.image = image;
@@ -57,22 +55,22 @@
   /**
    * Parses one statement.
    *
-   * @param text its text
+   * @param text text of the statement
    * @return statement
-   * @throws StreamcourseException with the place of the first error
+   * @throws StreamcourseException with line and column of the first syntax error
    */
   public AdminStatement parse(String text) {
     AdminLexer lexer = new AdminLexer(CharStreams.fromString(text));
     AdminParser parser = new AdminParser(new CommonTokenStream(lexer));
     lexer.removeErrorListeners();
     parser.removeErrorListeners();
-    lexer.addErrorListener(new Thrower());
-    parser.addErrorListener(new Thrower());
+    lexer.addErrorListener(new ThrowingErrorListener());
+    parser.addErrorListener(new ThrowingErrorListener());
     AdminParser.StatementContext statement = parser.script().statement();
     return statement.show() != null ? show(statement.show()) : change(statement.change());
   }
 
-  private static final class Thrower extends BaseErrorListener {
+  private static final class ThrowingErrorListener extends BaseErrorListener {
     @Override
     public void syntaxError(
         Recognizer<?, ?> recognizer,
@@ -111,7 +109,7 @@
     return new Show(subject, conditions, orderBy, context.DESC() != null, limit);
   }
 
-  // ---- changes ----
+  // ---- commands ----
 
   private AdminStatement change(ChangeContext context) {
     Precondition precondition = precondition(context);
@@ -197,7 +195,7 @@
       switch (name) {
         case MAX_STALENESS -> staleness = number(each);
         case CATCH_UP_WAIT -> wait = number(each);
-        case READ_ON_PRIMARY -> readOnPrimary = truth(each);
+        case READ_ON_PRIMARY -> readOnPrimary = bool(each);
         default ->
             throw unknownSetting(each, List.of(MAX_STALENESS, CATCH_UP_WAIT, READ_ON_PRIMARY));
       }
@@ -220,19 +218,19 @@
     return new ClusterChange.LimitsChanged(group, member, connections, slots);
   }
 
-  // ---- tokens ----
+  // ---- settings and tokens ----
 
   private static StreamcourseException unknownSetting(
       AssignmentContext context, List<String> expected) {
     return invalid(
-        place(context)
+        location(context)
             + "unknown setting '"
             + text(context.name())
             + "', expected one of "
             + expected.stream().collect(Collectors.joining(", ")));
   }
 
-  private static String place(AssignmentContext context) {
+  private static String location(AssignmentContext context) {
     return "line "
         + context.getStart().getLine()
         + ", column "
@@ -242,22 +240,22 @@
 
   private static long number(AssignmentContext context) {
     if (context.value().INTEGER() == null) {
-      throw invalid(place(context) + "'" + text(context.name()) + "' needs a whole number");
+      throw invalid(location(context) + "'" + text(context.name()) + "' needs a whole number");
     }
     return number(context.value().getText(), text(context.name()), context.getStart().getLine());
   }
 
-  private static long number(String digits, String what, int line) {
+  private static long number(String digits, String name, int line) {
     try {
       return Integer.parseInt(digits);
     } catch (NumberFormatException e) {
-      throw invalid("line " + line + ": " + what + " is not a number in range: " + digits);
+      throw invalid("line " + line + ": " + name + " is not a number in range: " + digits);
     }
   }
 
-  private static boolean truth(AssignmentContext context) {
+  private static boolean bool(AssignmentContext context) {
     if (context.value().TRUE() == null && context.value().FALSE() == null) {
-      throw invalid(place(context) + "'" + text(context.name()) + "' needs true or false");
+      throw invalid(location(context) + "'" + text(context.name()) + "' needs true or false");
     }
     return context.value().TRUE() != null;
   }
--- a/server/src/test/java/org/streamcourse/version/language/StatementParserTest.java
+++ b/server/src/test/java/org/streamcourse/version/language/StatementParserTest.java
@@ -13,12 +13,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The operators' language: what it takes and how it refuses. */
+/** The operators' language: accepted statements and the errors for invalid ones. */
 public class StatementParserTest {
   private final StatementParser parser = new StatementParser(ClusterImage.EMPTY);
 
   @Test
-  public void readsQueries() {
+  public void parsesQueries() {
     Show show =
         (Show)
             parser.parse(
@@ -31,13 +31,13 @@
   }
 
   @Test
-  public void readsTheQuestionForTenants() {
+  public void parsesShowTenants() {
     Show show = (Show) parser.parse("SHOW TENANTS WHERE refused > 0 ORDER BY refused DESC");
     assertEquals(show.subject(), AdminStatement.Subject.TENANTS);
   }
 
   @Test
-  public void readsChangesWithPreconditions() {
+  public void parsesCommandsWithPreconditions() {
     Change change = (Change) parser.parse("DROP GROUP bookings AT VERSION 12 COMMAND 'c-1'");
     assertEquals(change.precondition().expectedVersion(), 12);
     assertEquals(change.precondition().commandId(), "c-1");
@@ -46,7 +46,7 @@
   }
 
   @DataProvider
-  public Object[][] mistakes() {
+  public Object[][] syntaxErrors() {
     return new Object[][] {
       {"SHOW TABLES", "line 1, column 6"},
       {"SHOW MEMBERS WHERE", "line 1, column 19"},
@@ -58,16 +58,16 @@
     };
   }
 
-  @Test(dataProvider = "mistakes")
-  public void errorsNameThePlace(String text, String place) {
+  @Test(dataProvider = "syntaxErrors")
+  public void errorsContainLineAndColumn(String text, String location) {
     StreamcourseException error =
         expectThrows(StreamcourseException.class, () -> parser.parse(text));
     assertEquals(error.code(), ErrorCode.INVALID_COMMAND);
-    assertTrue(error.getMessage().contains(place), error.getMessage());
+    assertTrue(error.getMessage().contains(location), error.getMessage());
   }
 
   @Test
-  public void errorsSayWhatWasExpected() {
+  public void errorsContainTheExpectedToken() {
     StreamcourseException error =
         expectThrows(StreamcourseException.class, () -> parser.parse("DRAIN MEMBER m1 OF g"));
     assertTrue(error.getMessage().contains("IN"), error.getMessage());
