--- a/server/src/main/java/org/streamcourse/version/agreement/AgreementNode.java
+++ b/server/src/main/java/org/streamcourse/version/agreement/AgreementNode.java
@@ -52,7 +52,7 @@
   private boolean stopped;
 
   /**
-   * Creates a node over an opened log that holds an identity.
+   * Creates a node over an opened log that contains an identity.
    *
    * @param worker worker on which all methods run
    * @param network sends messages to the other controllers
--- a/server/src/main/java/org/streamcourse/version/image/ClusterChange.java
+++ b/server/src/main/java/org/streamcourse/version/image/ClusterChange.java
@@ -157,9 +157,9 @@
 
   /**
    * Changes shares of tenants' limits. Only controllers keep these shares, so this does not change
-   * the image. Tenants and holders are sent by name once, and from then on by their index in the
-   * order of that: a grant takes 3 to 6 bytes instead of 40, and each controller receives all
-   * grants.
+   * the image. Each tenant and holder is sent by name once, which assigns it the next index, and by
+   * that index from then on: a grant takes 3 to 6 bytes instead of 40, and every controller
+   * receives all grants.
    *
    * @param basedOn number of the grant that must be the newest; otherwise the change has no effect
    * @param tenants tenants that have no index yet
--- a/server/src/main/java/org/streamcourse/version/image/LinkShares.java
+++ b/server/src/main/java/org/streamcourse/version/image/LinkShares.java
@@ -44,7 +44,9 @@
    */
   private static final int OWNER_AND_STANDBYS = 3;
 
-  /** Most holders with equal shares, so that one may be down and another unreachable. */
+  /**
+   * Maximum number of holders with equal shares, so that one may be down and another unreachable.
+   */
   private static final int MAX_EQUAL_HOLDERS = 4;
 
   /** Number of nodes in the member's region below which other regions' nodes are holders too. */
--- a/server/src/main/java/org/streamcourse/version/image/RoutingDocument.java
+++ b/server/src/main/java/org/streamcourse/version/image/RoutingDocument.java
@@ -21,7 +21,7 @@
     SessionLimits limits,
     List<TenantRule> tenants,
     String source) {
-  /** Stands for the document while operators have sent none. */
+  /** Placeholder for the document until operators have sent one. */
   public static final RoutingDocument NONE =
       new RoutingDocument(-1, List.of(), List.of(), SessionLimits.DEFAULT, List.of(), "");
 
@@ -108,7 +108,7 @@
   }
 
   /**
-   * Validates the document by itself, without the present image.
+   * Validates the document, without comparing it to an image.
    *
    * @return description of the first problem, beginning with the field; empty for a valid document
    */
--- a/server/src/test/java/org/streamcourse/version/agreement/EntriesSentOnceTest.java
+++ b/server/src/test/java/org/streamcourse/version/agreement/EntriesSentOnceTest.java
@@ -64,7 +64,7 @@
   private final class Group {
     private final VirtualTimeScheduler clock = VirtualTimeScheduler.create();
     private final Map<String, AgreementNode> nodes = new TreeMap<>();
-    private final Map<String, RecordingStateMachine> machines = new HashMap<>();
+    private final Map<String, RecordingStateMachine> stateMachines = new HashMap<>();
     private final Set<String> unreachableNodes = new HashSet<>();
     private final Random random = new Random(7);
     private long entriesSent;
@@ -75,15 +75,15 @@
       for (String identity : VOTERS) {
         RecordLog log = RecordLog.open(new MemoryDisk(), VoterSetCodec.codec());
         log.bootstrap(identity, VOTERS, new byte[0]);
-        RecordingStateMachine machine = new RecordingStateMachine();
-        machines.put(identity, machine);
+        RecordingStateMachine stateMachine = new RecordingStateMachine();
+        stateMachines.put(identity, stateMachine);
         nodes.put(
             identity,
             new AgreementNode(
                 SchedulerWorker.onSchedulerClock(clock),
                 (to, message) -> send(identity, to, message),
                 log,
-                machine,
+                stateMachine,
                 AgreementSettings.DEFAULT,
                 random));
       }
@@ -124,7 +124,8 @@
 
     private void assertAllApplied(int count) {
       List<String> expected = IntStream.range(0, count).mapToObj(i -> "c" + i).toList();
-      machines.forEach((name, machine) -> assertEquals(machine.commands, expected, name));
+      stateMachines.forEach(
+          (name, stateMachine) -> assertEquals(stateMachine.commands, expected, name));
     }
   }
 
