--- a/server/src/main/java/org/streamcourse/process/StatementMetrics.java
+++ b/server/src/main/java/org/streamcourse/process/StatementMetrics.java
@@ -29,17 +29,17 @@
     endpoint.gauge(
         "streamcourse_late_reads_repeated",
         "Reads asked of another member since their answer was late.",
-        log::triedElsewhere);
+        log::lateRetries);
     endpoint.gauge(
         "streamcourse_late_reads_not_repeated",
         "Reads with a late answer that the budget of repeats allowed no other member.",
-        log::triesDenied);
+        log::lateRetriesDenied);
     endpoint.gauge(
         "streamcourse_relayed_streams",
         "Other nodes' statements and transactions on this node's links.",
         node::relayedStreams);
     endpoint.gauge(
-        "streamcourse_other_holders", "Times another holder was asked.", log::otherHolders);
+        "streamcourse_other_holders", "Times another holder was asked.", log::holderRetries);
     endpoint.gauge(
         "streamcourse_refused_for_others",
         "Other nodes' statements that got no connection here.",
--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -164,7 +164,7 @@
 
   private void lookAfterTheRest() {
     relayServer.check();
-    log.tellDropped();
+    log.logDropped();
   }
 
   private void reportAllMembers() {
--- a/server/src/main/java/org/streamcourse/request/routing/AnswerTimes.java
+++ b/server/src/main/java/org/streamcourse/request/routing/AnswerTimes.java
@@ -1,50 +1,50 @@
 package org.streamcourse.request.routing;
 
 /**
- * How long one member takes to answer, as moving averages of the time and of its deviation, as
- * TCP's retransmission timer keeps them (RFC 6298). Both lose their weight while nothing is
- * answered.
+ * Estimates how long one member takes to answer, from moving averages of the answer time and of its
+ * deviation, as TCP's retransmission timer does (RFC 6298). Without new answers, the expected time
+ * decays towards its initial value.
  */
 final class AnswerTimes {
-  private static final double NEWEST = 0.1;
-  private static final double NEWEST_DEVIATION = 0.25;
+  private static final double AVERAGE_GAIN = 0.1;
+  private static final double DEVIATION_GAIN = 0.25;
 
-  /** Time in which an average that gets no new values loses most of its weight. */
-  private static final double MEMORY_MILLIS = 2_000;
+  /** Time constant with which the expected time decays to its initial value without answers. */
+  private static final double DECAY_MILLIS = 2_000;
 
   /** Deviations above the average beyond which an answer is late, as in RFC 6298. */
   private static final double LATE_DEVIATIONS = 4;
 
-  private final double firstMillis;
+  private final double initialMillis;
   private double averageMillis;
   private double deviationMillis;
-  private long answeredMillis;
+  private long lastAnswerMillis;
 
   /**
-   * Creates times of a member that has answered nothing.
+   * Creates the estimate of a member that has not answered yet.
    *
-   * @param firstMillis what is expected of it until it has
+   * @param initialMillis expected answer time until the first answer
    */
-  AnswerTimes(double firstMillis) {
-    this.firstMillis = firstMillis;
-    this.averageMillis = firstMillis;
-    this.deviationMillis = firstMillis / 2;
+  AnswerTimes(double initialMillis) {
+    this.initialMillis = initialMillis;
+    this.averageMillis = initialMillis;
+    this.deviationMillis = initialMillis / 2;
   }
 
   void add(long tookMillis, long now) {
     double error = tookMillis - averageMillis;
-    averageMillis += NEWEST * error;
-    deviationMillis += NEWEST_DEVIATION * (Math.abs(error) - deviationMillis);
-    answeredMillis = now;
+    averageMillis += AVERAGE_GAIN * error;
+    deviationMillis += DEVIATION_GAIN * (Math.abs(error) - deviationMillis);
+    lastAnswerMillis = now;
   }
 
-  /** The expected time, in milliseconds. */
+  /** Returns the expected answer time in milliseconds. */
   double expectedMillis(long now) {
-    double age = now - answeredMillis;
-    return firstMillis + (averageMillis - firstMillis) * Math.exp(-age / MEMORY_MILLIS);
+    double age = now - lastAnswerMillis;
+    return initialMillis + (averageMillis - initialMillis) * Math.exp(-age / DECAY_MILLIS);
   }
 
-  /** Time after which an answer is far later than what was seen, in milliseconds. */
+  /** Returns the time in milliseconds after which an outstanding answer counts as late. */
   long lateAfterMillis(long now) {
     return Math.round(expectedMillis(now) + LATE_DEVIATIONS * deviationMillis);
   }
--- a/server/src/main/java/org/streamcourse/request/routing/BorrowedLink.java
+++ b/server/src/main/java/org/streamcourse/request/routing/BorrowedLink.java
@@ -3,42 +3,42 @@
 import org.streamcourse.connection.member.MemberLink;
 import org.streamcourse.connection.member.MemberLinks;
 
-/** The link that a statement uses, and where it must be given back. */
+/** A member link that a statement uses, with the pool to which the link must be returned. */
 final class BorrowedLink {
   private MemberLinks pool;
   private MemberLink link;
 
-  void hold(MemberLinks from, MemberLink granted) {
+  void set(MemberLinks from, MemberLink granted) {
     pool = from;
     link = granted;
   }
 
-  /** The link, or null. */
+  /** Returns the link, or null when none is in use. */
   MemberLink get() {
     return link;
   }
 
-  /** Gives the link away, to whoever releases it. */
-  MemberLink take() {
+  /** Detaches and returns the link; the caller must release it. */
+  MemberLink detach() {
     MemberLink taken = link;
     link = null;
     return taken;
   }
 
-  /** Gives it back, rolled back where a transaction was begun on it. */
+  /** Returns the link to its pool, rolling back a transaction that was begun on it. */
   void release() {
-    pool.releaseRolledBack(take());
+    pool.releaseRolledBack(detach());
   }
 
-  /** Closes it, since an answer is outstanding. */
-  void drop() {
-    MemberLink dropped = take();
-    dropped.close();
-    pool.release(dropped);
+  /** Closes the link, because an answer on it is outstanding. */
+  void close() {
+    MemberLink closed = detach();
+    closed.close();
+    pool.release(closed);
   }
 
-  /** It has ended by itself. */
-  void forget() {
-    pool.release(take());
+  /** Reports to the pool that the link has ended by itself. */
+  void releaseEnded() {
+    pool.release(detach());
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/ExecutionListener.java
+++ b/server/src/main/java/org/streamcourse/request/routing/ExecutionListener.java
@@ -4,20 +4,20 @@
 import org.streamcourse.connection.member.MemberLinks;
 import org.streamcourse.request.statement.Answer;
 
-/** Hears the end of an execution, once. */
+/** Receives the result of a statement execution; exactly one of the methods is called, once. */
 public interface ExecutionListener {
   /**
-   * The statement has its final answer and no link is kept.
+   * Called when the statement has its final answer and its link has been returned.
    *
-   * @param answer the answer
+   * @param answer final answer
    */
   void finished(Answer answer);
 
   /**
-   * A transaction is open at a member; its statements go on this link from now on.
+   * Called when a transaction was begun at a member; its statements must use this link.
    *
-   * @param links pool to which the link goes back
-   * @param link link in use
+   * @param links pool to which the link must be returned
+   * @param link link on which the transaction is open
    */
   void transactionOpened(MemberLinks links, MemberLink link);
 }
--- a/server/src/main/java/org/streamcourse/request/routing/ImageUpdateTimer.java
+++ b/server/src/main/java/org/streamcourse/request/routing/ImageUpdateTimer.java
@@ -4,44 +4,44 @@
 import reactor.core.Disposable;
 
 /**
- * Waits for another image of the fleet, and no longer than a short while, since a member may change
- * its mind without one.
+ * Runs a task at the next change of the cluster image, or after a short delay: a member may become
+ * usable again without a new image.
  */
 final class ImageUpdateTimer {
-  /** Pause before the primary is asked again after it refused. */
-  private static final long PAUSE_MILLIS = 40;
+  /** Delay after which a member is tried again without a new image. */
+  private static final long RETRY_DELAY_MILLIS = 40;
 
   private final Worker worker;
   private final MemberTable table;
-  private final Runnable next;
-  private final Runnable wake = this::wakeUp;
-  private Disposable pause = () -> {};
+  private final Runnable retry;
+  private final Runnable onWake = this::wakeUp;
+  private Disposable timeout = () -> {};
 
   /**
-   * Creates a timer that has not begun.
+   * Creates a timer that is not started.
    *
    * @param worker the proxy's worker
-   * @param table tells of other images
-   * @param next runs at the end of each wait that is not cancelled
+   * @param table reports image changes
+   * @param retry runs at the end of each wait that is not cancelled
    */
-  ImageUpdateTimer(Worker worker, MemberTable table, Runnable next) {
+  ImageUpdateTimer(Worker worker, MemberTable table, Runnable retry) {
     this.worker = worker;
     this.table = table;
-    this.next = next;
+    this.retry = retry;
   }
 
   void start() {
-    table.onChange(wake);
-    pause = worker.schedule(PAUSE_MILLIS, wake);
+    table.onChange(onWake);
+    timeout = worker.schedule(RETRY_DELAY_MILLIS, onWake);
   }
 
   private void wakeUp() {
     cancel();
-    next.run();
+    retry.run();
   }
 
   void cancel() {
-    table.forget(wake);
-    pause.dispose();
+    table.removeOnChange(onWake);
+    timeout.dispose();
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/MemberCall.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberCall.java
@@ -10,51 +10,52 @@
 import org.streamcourse.request.statement.AnswerCode;
 
 /**
- * One statement, or the beginning of a transaction, on one link that was granted, up to its answer.
- * It notes how fast the member answered and where its log stood.
+ * Runs one statement, or begins one transaction, on a granted member link, and handles the answer.
+ * Records the member's answer time and log position.
  *
- * <p>Invariant: the link goes back to its pool once, except that of a transaction that was begun.
+ * <p>Invariant: the link is returned to its pool exactly once, unless a transaction was begun on
+ * it; then the listener takes over the link.
  *
  * <p>All methods run on the proxy's worker.
  */
 final class MemberCall {
-  /** Where the call stands. */
+  /** State of the call. */
   private enum Phase {
     BEGINNING,
     RUNNING,
-    /** Nobody waits for the answer; it is awaited so that the link can be kept. */
+    /** The caller no longer needs the answer; the link is returned to its pool once it arrives. */
     ABANDONED,
     DONE
   }
 
-  /** Hears the end of a call, once, unless it is abandoned or dropped. */
+  /** Receives the result of a call, once, unless the call is abandoned or dropped. */
   interface Listener {
-    /** A single statement completed. */
+    /** Called when a single statement completed. */
     void completed(Answer answer);
 
-    /** A transaction was begun; its statements go on the link, which is the listener's now. */
+    /** Called when a transaction was begun; the listener now owns the link. */
     void opened(MemberLinks links, MemberLink link);
 
     /**
-     * The member answered with an error.
+     * Called when the member answered with an error.
      *
-     * @param answer its answer
-     * @param beginning whether only the beginning of a transaction was asked
+     * @param answer answer of the member
+     * @param beginning whether the error answers the begin command of a transaction
      */
     void failed(Answer answer, boolean beginning);
 
     /**
-     * The link is gone, and with it the answer.
+     * Called when the link ended before the answer arrived.
      *
-     * @param cause what happened
+     * @param cause why the link ended
      * @param unsent whether the caller's statement has certainly not reached the member
      */
     void lost(String cause, boolean unsent);
 
     /**
-     * The member had no slot for the statement in time, so it was not sent.
+     * Called when no slot of the member became free in time; the statement was not sent.
      *
-     * @param cause what happened
+     * @param cause description of the wait
      */
     void noSlot(String cause);
   }
@@ -72,16 +73,16 @@
   private Phase phase = Phase.DONE;
 
   /**
-   * Creates a call that is not sent yet.
+   * Creates a call; {@link #send} starts it.
    *
    * @param worker the proxy's worker
-   * @param log tells what is decided
+   * @param log request log
    * @param context the statement and its session
-   * @param plan what is asked of the member
+   * @param plan how the member runs the statement
    * @param members members of the service
-   * @param links pool to which the link goes back
-   * @param floor what the member's log must have, or null
-   * @param listener hears the end
+   * @param links pool to which the link is returned
+   * @param floor lowest log position that the read must observe, or null
+   * @param listener receives the result
    */
   MemberCall(
       Worker worker,
@@ -111,10 +112,10 @@
    * Sends the statement over a link.
    *
    * @param granted the link
-   * @param untilMillis time until which it may wait for one of the member's slots
+   * @param untilMillis time until which the statement may wait for a slot of the member
    */
   void send(MemberLink granted, long untilMillis) {
-    borrowedLink.hold(links, granted);
+    borrowedLink.set(links, granted);
     MemberLink link = granted;
     link.adopt(context.values());
     boolean begins =
@@ -122,36 +123,38 @@
     phase = begins ? Phase.BEGINNING : Phase.RUNNING;
     switch (plan) {
       case ANY_READ ->
-          link.run(context.command(link, floor.position()), new SingleAnswer(), untilMillis);
-      case WRITE -> link.run(context.command(link, null), new SingleAnswer(), untilMillis);
+          link.run(
+              context.command(link, floor.position()), new SingleStatementListener(), untilMillis);
+      case WRITE ->
+          link.run(context.command(link, null), new SingleStatementListener(), untilMillis);
       case PRIMARY_READ ->
-          link.runGuarded(context.command(link, null), new SingleAnswer(), untilMillis);
+          link.runGuarded(context.command(link, null), new SingleStatementListener(), untilMillis);
       case PRIMARY_TRANSACTION ->
-          link.run(new MemberCommand.BeginTransaction(false, null), new Begun());
+          link.run(new MemberCommand.BeginTransaction(false, null), new BeginListener());
       case ANY_TRANSACTION ->
-          link.run(new MemberCommand.BeginTransaction(true, floor.position()), new Begun());
+          link.run(new MemberCommand.BeginTransaction(true, floor.position()), new BeginListener());
     }
   }
 
-  /** Whether the member owes an answer that somebody waits for. */
+  /** Returns whether an answer is outstanding that the caller needs. */
   boolean awaitsAnswer() {
     return phase == Phase.BEGINNING || phase == Phase.RUNNING;
   }
 
-  /** Why the caller's statement has certainly not run, or null when it may have. */
-  String whyNotSent() {
+  /** Returns why the caller's statement has certainly not run, or null when it may have run. */
+  String notRunCause() {
     if (phase == Phase.BEGINNING) {
-      return "the member did not begin in time";
+      return "the member did not begin the transaction in time";
     }
     if (borrowedLink.get().mayHaveRun()) {
       return null;
     }
     return borrowedLink.get().isRelayed()
-        ? "no holder of connections spoke in time"
-        : "the member did not begin in time";
+        ? "no holder of member connections responded in time"
+        : "the member did not begin the statement in time";
   }
 
-  /** Nobody waits for the answer any more; the link goes back once it has come. */
+  /** Stops waiting for the answer; the link is returned to its pool once the answer arrives. */
   void abandon() {
     if (awaitsAnswer()) {
       phase = Phase.ABANDONED;
@@ -159,22 +162,22 @@
     }
   }
 
-  /** Closes the link, on which an answer is outstanding. */
+  /** Ends the call and closes its link, because the answer is outstanding. */
   void drop() {
     if (phase != Phase.DONE) {
       phase = Phase.DONE;
-      borrowedLink.drop();
+      borrowedLink.close();
     }
   }
 
-  /** A holder of connections gave none for the link, so nothing was run. */
+  /** Ends the call after the holder refused to grant a connection; nothing was run. */
   void refused() {
     phase = Phase.DONE;
-    borrowedLink.forget();
+    borrowedLink.releaseEnded();
   }
 
-  /** Hears whether a transaction was begun. */
-  private final class Begun implements CommandListener {
+  /** Handles the answer to a begin command. */
+  private final class BeginListener implements CommandListener {
     @Override
     public void answered(Answer answer) {
       if (phase == Phase.DONE) {
@@ -188,8 +191,8 @@
         return;
       }
       if (answer.isComplete()) {
-        notePrimary(answer);
-        listener.opened(links, borrowedLink.take());
+        recordPrimary(answer);
+        listener.opened(links, borrowedLink.detach());
       } else {
         listener.failed(answer, true);
       }
@@ -201,21 +204,21 @@
     }
   }
 
-  /** Hears the answer of a read or write. */
-  private final class SingleAnswer implements CommandListener {
+  /** Handles the answer to a read or write. */
+  private final class SingleStatementListener implements CommandListener {
     @Override
     public void answered(Answer answer) {
       if (phase == Phase.DONE) {
         return;
       }
       boolean awaited = end();
-      noteAnswer(answer);
+      recordAnswer(answer);
       if (answer.code() == AnswerCode.UNKNOWN_NAME) {
-        // What this node believes to be prepared there is not.
+        // The link lacks a prepared statement that this node had recorded for it.
         borrowedLink.get().close();
       }
       if (answer.isComplete()) {
-        notePrimary(answer);
+        recordPrimary(answer);
       }
       borrowedLink.release();
       if (awaited && answer.isComplete()) {
@@ -244,7 +247,7 @@
     }
   }
 
-  /** Ends the call; returns whether somebody waits for its answer. */
+  /** Ends the call; returns whether the caller still needs its answer. */
   private boolean end() {
     boolean awaited = awaitsAnswer();
     phase = Phase.DONE;
@@ -256,26 +259,27 @@
       return;
     }
     boolean awaited = end();
-    borrowedLink.forget();
+    borrowedLink.releaseEnded();
     if (awaited) {
       listener.lost(cause, unsent);
     }
   }
 
-  private void noteAnswer(Answer answer) {
+  private void recordAnswer(Answer answer) {
     long latency = worker.now() - sentMillis;
     log.observer().memberAnswered(latency);
-    members.answered(links.member().id(), context.route().database(), latency, answer.position());
+    members.recordAnswer(
+        links.member().id(), context.route().database(), latency, answer.position());
   }
 
-  /** A statement that only a primary completes shows that the member was primary. */
-  private void notePrimary(Answer answer) {
+  /** Records that the member was primary, when only a primary can complete the statement. */
+  private void recordPrimary(Answer answer) {
     if (!plan.needsPrimary()) {
       return;
     }
-    members.isPrimary(links.member().id());
+    members.markPrimary(links.member().id());
     if (answer.position() != null) {
-      members.primaryAt(sentMillis, answer.position());
+      members.recordPrimaryPosition(sentMillis, answer.position());
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/MemberChoice.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberChoice.java
@@ -7,106 +7,107 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * Chooses the member that is expected to finish a read first: its usual answer time with what is
- * under way there, or the queue that a holder told of, and the time until it has the read's floor.
- * A member that is expected to lack the floor for longer than others take is thereby left out, and
- * the last one never is.
+ * Chooses the member that is expected to finish a read first. The estimate covers the member's
+ * usual answer time with its statements in flight or the queue reported by its holder, and the time
+ * until the member reaches the read's floor. A member that reaches the floor later than others
+ * would finish is therefore not chosen; a member that is the only candidate always is.
  *
- * <p>Has no state and no clock, so that it runs in tests as in the product.
+ * <p>Has no state and no clock, so that tests run the same code as production.
  */
 final class MemberChoice {
-  /** A read goes to the primary only when the replicas are this much dearer: writes need it. */
-  private static final double PRIMARY_READ_COST = 2.0;
+  /** Cost factor of reads at the primary, which keeps its capacity for writes. */
+  private static final double PRIMARY_COST_FACTOR = 2.0;
 
   /**
-   * Time that a tenant's read may take longer at the member to which its other reads go. A new pair
-   * of tenant and member needs a connection, which takes a member's slot as long as this.
+   * Added to the expected time at members other than the tenant's preferred replica. A tenant's
+   * first read at a member needs a new connection, which occupies a member slot for as long.
    */
-  private static final double NEW_PAIR_MILLIS = 12;
+  private static final double NEW_CONNECTION_MILLIS = 12;
 
   private static final LongHashFunction HASH = LongHashFunction.xx();
 
   /**
-   * A member as it is known now.
+   * What this node knows of a member at the time of the choice.
    *
    * @param id the member
    * @param primary whether it is the primary
-   * @param answerMillis usual time to its answer
-   * @param underWay statements of this node there
+   * @param answerMillis expected answer time
+   * @param inFlight statements of this node at the member
    * @param queueMillis expected wait for a connection
-   * @param catchUpMillis time until it is expected to have the floor
-   * @param silentMillis how long it has owed answers to all who asked it
+   * @param catchUpMillis expected time until the member reaches the floor
+   * @param silentMillis time for which the member has left all requests unanswered
    */
   record Candidate(
       MemberId id,
       boolean primary,
       double answerMillis,
-      int underWay,
+      int inFlight,
       long queueMillis,
       long catchUpMillis,
       long silentMillis) {
     /**
-     * Expected time to the answer, the price of the primary's room included. A silence is expected
-     * to last as long again.
+     * Returns the expected time to the answer, weighted by the cost factor of the primary. An
+     * unresponsive member is expected to stay so for as long as it has been.
      */
     double finishMillis() {
-      double answered = Math.max(answerMillis * (1 + underWay), answerMillis + queueMillis);
-      double priced = primary ? answered * PRIMARY_READ_COST : answered;
-      return priced + catchUpMillis + (silentMillis > MemberState.HUNG_MILLIS ? silentMillis : 0);
+      double unweighted = Math.max(answerMillis * (1 + inFlight), answerMillis + queueMillis);
+      double weighted = primary ? unweighted * PRIMARY_COST_FACTOR : unweighted;
+      return weighted + catchUpMillis + (silentMillis > MemberState.HUNG_MILLIS ? silentMillis : 0);
     }
 
-    boolean isHeldBack() {
+    boolean isDelayed() {
       return catchUpMillis > 0 || silentMillis > MemberState.HUNG_MILLIS;
     }
   }
 
   /**
-   * A choice.
+   * A chosen member.
    *
    * @param chosen the member
-   * @param spareMillis how much sooner it is than the next one; very large when it is the only one
+   * @param marginMillis how much sooner it is expected to finish than the second best candidate;
+   *     very large without another candidate
    */
-  record Chosen(Candidate chosen, double spareMillis) {}
+  record Chosen(Candidate chosen, double marginMillis) {}
 
   private MemberChoice() {}
 
   /**
-   * Chooses.
+   * Chooses the member for a read.
    *
-   * @param candidates members that can be asked
-   * @param tenant whose read it is; its reads are kept together where that costs little
-   * @return the choice, or null when there is no candidate
+   * @param candidates usable members
+   * @param tenant tenant of the read; its reads go to one replica where that costs little
+   * @return the chosen member, or null without candidates
    */
   static Chosen choose(List<Candidate> candidates, TenantId tenant) {
-    MemberId home = tenant.isPresent() ? home(candidates, tenant) : MemberId.NONE;
+    MemberId preferred = tenant.isPresent() ? preferredReplica(candidates, tenant) : MemberId.NONE;
     Candidate best = null;
     double bestMillis = Double.MAX_VALUE;
-    double nextMillis = Double.MAX_VALUE;
+    double secondMillis = Double.MAX_VALUE;
     for (Candidate each : candidates) {
-      boolean newPair = home.isPresent() && !each.id().equals(home);
-      double millis = each.finishMillis() + (newPair ? NEW_PAIR_MILLIS : 0);
+      boolean newConnection = preferred.isPresent() && !each.id().equals(preferred);
+      double millis = each.finishMillis() + (newConnection ? NEW_CONNECTION_MILLIS : 0);
       if (millis < bestMillis) {
-        nextMillis = bestMillis;
+        secondMillis = bestMillis;
         best = each;
         bestMillis = millis;
       } else {
-        nextMillis = Math.min(nextMillis, millis);
+        secondMillis = Math.min(secondMillis, millis);
       }
     }
-    return best == null ? null : new Chosen(best, nextMillis - bestMillis);
+    return best == null ? null : new Chosen(best, secondMillis - bestMillis);
   }
 
-  /** The replica that all nodes find for a tenant, by rendezvous hashing. */
-  private static MemberId home(List<Candidate> candidates, TenantId tenant) {
-    MemberId home = MemberId.NONE;
-    long most = Long.MIN_VALUE;
+  /** Returns the replica that all nodes prefer for a tenant, by rendezvous hashing. */
+  private static MemberId preferredReplica(List<Candidate> candidates, TenantId tenant) {
+    MemberId preferred = MemberId.NONE;
+    long maxHash = Long.MIN_VALUE;
     for (Candidate each : candidates) {
       long hash = HASH.hashChars(tenant.value() + '/' + each.id().value());
-      if (!each.primary() && (hash > most || !home.isPresent())) {
-        home = each.id();
-        most = hash;
+      if (!each.primary() && (hash > maxHash || !preferred.isPresent())) {
+        preferred = each.id();
+        maxHash = hash;
       }
     }
-    return home;
+    return preferred;
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/MemberTable.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberTable.java
@@ -22,7 +22,7 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * The services and members that this node may use, as of the newest image.
+ * The services named by routes, with the members of each, as of the newest cluster image.
  *
  * <p>All methods run on the proxy's worker.
  */
@@ -32,7 +32,7 @@
   private final MemberRelay relay;
   private final NodeImage self;
   private final Map<String, ServiceMembers> services = new TreeMap<>();
-  private final Set<Runnable> waiting = new LinkedHashSet<>();
+  private final Set<Runnable> changeTasks = new LinkedHashSet<>();
   private Runnable healthListener = () -> {};
   private MemberRelay.ObservationListener observationListener =
       (service, member, observation) -> {};
@@ -42,7 +42,7 @@
    *
    * @param worker the proxy's worker
    * @param dialer opens connections to members
-   * @param relay way to members to which this node may have no connections
+   * @param relay relays statements to members to which this node may open no connections
    * @param self this node
    */
   public MemberTable(Worker worker, MemberDialer dialer, MemberRelay relay, NodeImage self) {
@@ -62,7 +62,7 @@
   }
 
   /**
-   * Sets who hears at once that a member became unreachable or reachable again.
+   * Sets the listener that is called as soon as a member becomes unreachable or reachable.
    *
    * @param listener runs on the proxy's worker
    */
@@ -71,7 +71,7 @@
   }
 
   /**
-   * Sets who tells other nodes of members to which this node has links.
+   * Sets the listener that sends observations of members to other nodes.
    *
    * @param listener runs on the proxy's worker
    */
@@ -80,9 +80,9 @@
   }
 
   /**
-   * Takes in a new image.
+   * Applies a new image.
    *
-   * @param image image in force
+   * @param image the image
    */
   public void update(ClusterImage image) {
     Set<String> used = new TreeSet<>();
@@ -99,9 +99,9 @@
               name, any -> new ServiceMembers(worker, self.placement().zone()));
       updateService(members, image.service(name), shares);
     }
-    List<Runnable> woken = new ArrayList<>(waiting);
-    waiting.clear();
-    woken.forEach(Runnable::run);
+    List<Runnable> tasks = new ArrayList<>(changeTasks);
+    changeTasks.clear();
+    tasks.forEach(Runnable::run);
   }
 
   private void updateService(ServiceMembers members, ServiceImage image, LinkShares shares) {
@@ -121,19 +121,19 @@
    * Finds the members of a service.
    *
    * @param service service's name
-   * @return its members; null when no route names it
+   * @return members of the service, or null when no route names it
    */
   public ServiceMembers service(String service) {
     return services.get(service);
   }
 
   /**
-   * Finds this node's own links to a member.
+   * Finds this node's own link pool of a member.
    *
    * @param service service's name
    * @param member the member
-   * @param standIn whether this node shall stand in for the member's holders, if it may
-   * @return its links, or null when this node may have none
+   * @param standIn whether this node becomes a fallback holder of the member, if it may
+   * @return the pool, or null when this node may open no links
    */
   public MemberLinks held(String service, MemberId member, boolean standIn) {
     ServiceMembers members = services.get(service);
@@ -145,16 +145,16 @@
   }
 
   /**
-   * Notes where the log of a primary stood that committed a transaction.
+   * Records the log position of a primary at which it committed a transaction.
    *
    * @param service service's name
    * @param sentMillis time at which the commit was sent
-   * @param position place that it told
+   * @param position log position in the answer
    */
   public void noteCommit(String service, long sentMillis, TermPosition position) {
     ServiceMembers members = services.get(service);
     if (members != null) {
-      members.primaryAt(sentMillis, position);
+      members.recordPrimaryPosition(sentMillis, position);
     }
   }
 
@@ -168,24 +168,24 @@
   }
 
   /**
-   * Runs a task once, at the next change of the image.
+   * Adds a task that runs once, at the next change of the image.
    *
-   * @param task what to run
+   * @param task the task
    */
   public void onChange(Runnable task) {
-    waiting.add(task);
+    changeTasks.add(task);
   }
 
   /**
-   * Forgets a task given to {@link #onChange}.
+   * Removes a task added by {@link #onChange}.
    *
-   * @param task what need not be run
+   * @param task the task
    */
-  public void forget(Runnable task) {
-    waiting.remove(task);
+  public void removeOnChange(Runnable task) {
+    changeTasks.remove(task);
   }
 
-  /** Looks after the health of all members. */
+  /** Checks the health of all members and sends observations of them to other nodes. */
   public void checkHealth() {
     for (ServiceMembers members : services.values()) {
       members.all().forEach(MemberLinks::check);
--- a/server/src/main/java/org/streamcourse/request/routing/MemberWatch.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberWatch.java
@@ -14,9 +14,10 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * Watches the members to which this node has links, and tells the nodes that had work for one when
- * it is behind or owes answers to all. Reads keep away from a member that is behind, so nothing
- * else would show when it has caught up: the member and the primary are asked where they stand.
+ * Watches the members to which this node has links. When a member lags or leaves all requests
+ * unanswered, notifies the nodes that have sent statements for it. Because reads avoid a lagging
+ * member, no answers would show that it has caught up; therefore the log positions of the member
+ * and of the primary are probed.
  *
  * <p>All methods run on the proxy's worker.
  */
@@ -24,29 +25,29 @@
   private static final Logger LOG = LoggerFactory.getLogger(MemberWatch.class);
 
   /**
-   * Lag from which a member is watched. Below it a read that needs the newest place waits about as
-   * long as a way to another region and back, and is best left to the member.
+   * Lag from which a member is watched. With a smaller lag, a read that needs the newest position
+   * waits about as long as a round trip to another region, so that it is best sent to the member.
    */
-  private static final long WATCHED_MILLIS = 100;
+  private static final long MIN_WATCHED_LAG_MILLIS = 100;
 
-  /** A lag is told again when it has changed by this factor. */
-  private static final long TOLD_FACTOR = 4;
+  /** A lag is published again when it has changed by this factor. */
+  private static final long PUBLISHED_CHANGE_FACTOR = 4;
 
-  /** Time after which a lag is told in any case: half of that for which others believe it. */
-  private static final long LAG_TOLD_MILLIS = 1_000;
+  /** Longest time between publications of a lag: half of the time for which other nodes use it. */
+  private static final long LAG_PUBLICATION_MILLIS = 1_000;
 
-  /** The same for a silence. */
-  private static final long SILENCE_TOLD_MILLIS = 250;
+  /** Longest time between publications that a member is unresponsive. */
+  private static final long HUNG_PUBLICATION_MILLIS = 250;
 
-  /** Time between questions to the primary; its own commits come more often where many write. */
-  private static final long PRIMARY_ASKED_MILLIS = 300;
+  /** Time between probes of the primary. With many writes, commits show its position more often. */
+  private static final long PRIMARY_PROBE_MILLIS = 300;
 
-  private record Told(long lagMillis, boolean hung, long atMillis) {}
+  private record Publication(long lagMillis, boolean hung, long atMillis) {}
 
   private final Worker worker;
   private final ServiceMembers members;
-  private final Map<MemberId, Told> told = new HashMap<>();
-  private long primaryAskedMillis = Long.MIN_VALUE / 2;
+  private final Map<MemberId, Publication> published = new HashMap<>();
+  private long primaryProbedMillis = Long.MIN_VALUE / 2;
 
   MemberWatch(Worker worker, ServiceMembers members) {
     this.worker = worker;
@@ -54,61 +55,61 @@
   }
 
   /**
-   * Looks at all members; to be called a few times a second.
+   * Checks all members; must be called several times a second.
    *
    * @param service name of the service
-   * @param reader tenant that read last, over whose connections members may be asked
-   * @param listener tells other nodes
+   * @param reader tenant of the most recent read, whose connections the probes may use
+   * @param listener sends observations to other nodes
    */
   void check(String service, TenantId reader, MemberRelay.ObservationListener listener) {
-    told.keySet().removeIf(member -> members.links(member) == null);
+    published.keySet().removeIf(member -> members.links(member) == null);
     for (MemberLinks links : members.all()) {
       if (!links.holdsLinks()) {
-        told.remove(links.member().id());
+        published.remove(links.member().id());
         continue;
       }
       boolean behind = isBehind(links);
       if (behind) {
-        ask(links, reader);
+        probe(links, reader);
       }
-      tell(service, links, behind, listener);
+      publish(service, links, behind, listener);
     }
   }
 
   private boolean isBehind(MemberLinks links) {
     return links.isUsable()
-        && !members.leadsToPrimary(links)
-        && links.state().lagMillis() >= WATCHED_MILLIS;
+        && !members.isOfPrimary(links)
+        && links.state().lagMillis() >= MIN_WATCHED_LAG_MILLIS;
   }
 
-  private void ask(MemberLinks links, TenantId reader) {
+  private void probe(MemberLinks links, TenantId reader) {
     ReplicaProbe.ask(links, reader);
-    if (worker.now() - primaryAskedMillis >= PRIMARY_ASKED_MILLIS) {
-      primaryAskedMillis = worker.now();
-      members.askPosition(reader, () -> {});
+    if (worker.now() - primaryProbedMillis >= PRIMARY_PROBE_MILLIS) {
+      primaryProbedMillis = worker.now();
+      members.probePrimaryPosition(reader, () -> {});
     }
   }
 
-  private void tell(
+  private void publish(
       String service, MemberLinks links, boolean behind, MemberRelay.ObservationListener listener) {
     MemberId member = links.member().id();
     MemberObservation observation = links.state().observation();
     boolean hung = observation.silentMillis() > MemberState.HUNG_MILLIS;
-    Told last = told.get(member);
+    Publication last = published.get(member);
     if (!behind && !hung && last == null) {
       return;
     }
     if (!behind && !hung) {
-      told.remove(member);
-      LOG.info("member {}/{} has caught up and answers", service, member);
-    } else if (last == null || isWorthTelling(last, observation.lagMillis(), hung)) {
-      told.put(member, new Told(observation.lagMillis(), hung, worker.now()));
+      published.remove(member);
+      LOG.info("member {}/{} has caught up and responds; reads may use it again", service, member);
+    } else if (last == null || isPublicationDue(last, observation.lagMillis(), hung)) {
+      published.put(member, new Publication(observation.lagMillis(), hung, worker.now()));
     } else {
       return;
     }
     if (last == null) {
       LOG.info(
-          "member {}/{} is {} ms behind, silent for {} ms",
+          "member {}/{} lags by {} ms, no reply for {} ms; other nodes are notified",
           service,
           member,
           observation.lagMillis(),
@@ -117,12 +118,12 @@
     listener.onObservation(service, member, observation);
   }
 
-  private boolean isWorthTelling(Told last, long lagMillis, boolean hung) {
+  private boolean isPublicationDue(Publication last, long lagMillis, boolean hung) {
     boolean changed =
-        lagMillis > last.lagMillis() * TOLD_FACTOR
-            || lagMillis * TOLD_FACTOR < last.lagMillis()
+        lagMillis > last.lagMillis() * PUBLISHED_CHANGE_FACTOR
+            || lagMillis * PUBLISHED_CHANGE_FACTOR < last.lagMillis()
             || hung != last.hung();
-    long rest = hung ? SILENCE_TOLD_MILLIS : LAG_TOLD_MILLIS;
-    return changed || worker.now() - last.atMillis() >= rest;
+    long interval = hung ? HUNG_PUBLICATION_MILLIS : LAG_PUBLICATION_MILLIS;
+    return changed || worker.now() - last.atMillis() >= interval;
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/PositionProbe.java
+++ b/server/src/main/java/org/streamcourse/request/routing/PositionProbe.java
@@ -14,25 +14,25 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * Asks the primary where its log stands, once for all reads that wait for it. A node that has just
- * started, or that had nothing to do for a while, would otherwise send all its reads to the
+ * Probes the primary's log position, once for all reads that wait for it. Without the probe, a node
+ * that has just started or was idle knows no recent position and would send all its reads to the
  * primary.
  *
- * <p>The question is a transaction that is begun and rolled back: only a primary begins one, and it
- * runs no statement, so it takes none of the member's slots.
+ * <p>The probe begins a transaction and rolls it back. Only a primary begins a read-write
+ * transaction, and the probe occupies no slot of the member because it runs no statement.
  *
  * <p>All methods run on the proxy's worker.
  */
 final class PositionProbe {
-  /** Time that the question may wait for a connection. */
-  private static final long MOST_WAIT_MILLIS = 500;
+  /** Longest time for which the probe waits for a connection. */
+  private static final long MAX_WAIT_MILLIS = 500;
 
-  private static final int FIRST_PRIORITY = 0;
+  private static final int HIGHEST_PRIORITY = 0;
 
   private final Worker worker;
   private final ServiceMembers members;
   private final List<Runnable> waiting = new ArrayList<>();
-  private boolean asked;
+  private boolean inFlight;
 
   PositionProbe(Worker worker, ServiceMembers members) {
     this.worker = worker;
@@ -40,41 +40,41 @@
   }
 
   /**
-   * Asks, unless a question is under way.
+   * Starts a probe, unless one is in flight.
    *
-   * @param tenant who waits for the answer; the question itself is nobody's
-   * @param next runs when the question has ended, whether the place is known or not
+   * @param tenant tenant whose link is used when no link is idle; the probe itself has no tenant
+   * @param onEnd runs when the probe has ended, successfully or not
    */
-  void ask(TenantId tenant, Runnable next) {
-    waiting.add(next);
-    if (asked) {
+  void start(TenantId tenant, Runnable onEnd) {
+    waiting.add(onEnd);
+    if (inFlight) {
       return;
     }
-    asked = true;
+    inFlight = true;
     MemberLinks primary = members.primary();
     if (primary == null) {
-      // Later, so that the caller is not called back while it asks.
-      worker.execute(this::ended);
+      // Deferred, so that the callback does not run within this call.
+      worker.execute(this::end);
     } else {
-      primary.acquire(new Question(primary, tenant));
+      primary.acquire(new ProbeRequest(primary, tenant));
     }
   }
 
-  private void ended() {
-    asked = false;
-    List<Runnable> woken = List.copyOf(waiting);
+  private void end() {
+    inFlight = false;
+    List<Runnable> callbacks = List.copyOf(waiting);
     waiting.clear();
-    woken.forEach(Runnable::run);
+    callbacks.forEach(Runnable::run);
   }
 
-  /** The wish for a link, and what is asked on it. */
-  private final class Question implements LinkRequest, CommandListener {
+  /** Requests a link to the primary and probes the position over it. */
+  private final class ProbeRequest implements LinkRequest, CommandListener {
     private final MemberLinks links;
     private final TenantId tenant;
     private MemberLink link;
     private long sentMillis;
 
-    Question(MemberLinks links, TenantId tenant) {
+    ProbeRequest(MemberLinks links, TenantId tenant) {
       this.links = links;
       this.tenant = tenant;
     }
@@ -84,7 +84,9 @@
       return tenant;
     }
 
-    /** It runs no statement, so it disturbs nobody's link. */
+    /**
+     * Returns true, because the probe runs no statement and leaves the session of a link as it is.
+     */
     @Override
     public boolean takesAnyTenant() {
       return true;
@@ -92,7 +94,7 @@
 
     @Override
     public int priority() {
-      return FIRST_PRIORITY;
+      return HIGHEST_PRIORITY;
     }
 
     @Override
@@ -102,7 +104,7 @@
 
     @Override
     public long maxWaitMillis() {
-      return MOST_WAIT_MILLIS;
+      return MAX_WAIT_MILLIS;
     }
 
     @Override
@@ -120,9 +122,9 @@
     @Override
     public void refused(String cause, long retryAfterMillis) {
       if (link == null) {
-        worker.execute(PositionProbe.this::ended);
+        worker.execute(PositionProbe.this::end);
       } else {
-        // Its end is told as the loss of the question.
+        // Closing the link reports the probe as lost.
         link.close();
       }
     }
@@ -130,19 +132,19 @@
     @Override
     public void answered(Answer answer) {
       if (answer.isComplete() && answer.position() != null) {
-        members.isPrimary(links.member().id());
-        members.primaryAt(sentMillis, answer.position());
+        members.markPrimary(links.member().id());
+        members.recordPrimaryPosition(sentMillis, answer.position());
       } else if (answer.code() == AnswerCode.READ_ONLY) {
-        members.notPrimary(links.member().id());
+        members.markNotPrimary(links.member().id());
       }
       links.releaseRolledBack(link);
-      ended();
+      end();
     }
 
     @Override
     public void lost(String cause) {
       links.release(link);
-      ended();
+      end();
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/PrimaryPositions.java
+++ b/server/src/main/java/org/streamcourse/request/routing/PrimaryPositions.java
@@ -5,50 +5,50 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * Places at which the primary's log stood, each with the time at which it was asked for.
+ * Samples of the primary's log position, each with the time at which its request was sent.
  *
- * <p>Invariant: every commit acknowledged before a sample was asked for is at or before its place,
- * or was dropped by a later change of primary. So a member whose log has the place of a sample
- * asked for less than a limit ago shows everything acknowledged longer ago than that limit. The
- * clock is this node's own monotonic one; nothing is compared between machines.
+ * <p>Invariant: every commit acknowledged before the request of a sample was sent is at or before
+ * the sample's position, or was dropped by a later change of primary. Therefore a member that has
+ * reached a sample requested less than a limit ago shows everything acknowledged longer ago than
+ * that limit. Times are of this node's monotonic clock; no times of different nodes are compared.
  */
 public final class PrimaryPositions {
-  private static final long KEPT_MILLIS = 10_000;
+  private static final long RETENTION_MILLIS = 10_000;
 
-  /** Samples closer together than this are not worth keeping apart. */
-  private static final long STEP_MILLIS = 20;
+  /** Least time between two samples that are kept. */
+  private static final long MIN_INTERVAL_MILLIS = 20;
 
-  private record Sample(long askedMillis, TermPosition position) {}
+  private record Sample(long requestedMillis, TermPosition position) {}
 
   private final Deque<Sample> samples = new ArrayDeque<>();
 
   /**
-   * Adds a sample; only of an answer that shows that the member was primary when it answered.
+   * Adds a sample. The answer must show that the member was primary when it answered.
    *
-   * @param askedMillis time at which the statement was sent
-   * @param position place told with the answer
+   * @param requestedMillis time at which the statement was sent
+   * @param position log position in the answer
    */
-  public void add(long askedMillis, TermPosition position) {
+  public void add(long requestedMillis, TermPosition position) {
     Sample last = samples.peekLast();
-    if (last != null && askedMillis - last.askedMillis() < STEP_MILLIS) {
+    if (last != null && requestedMillis - last.requestedMillis() < MIN_INTERVAL_MILLIS) {
       return;
     }
-    samples.addLast(new Sample(askedMillis, position));
-    while (askedMillis - samples.peekFirst().askedMillis() > KEPT_MILLIS) {
+    samples.addLast(new Sample(requestedMillis, position));
+    while (requestedMillis - samples.peekFirst().requestedMillis() > RETENTION_MILLIS) {
       samples.pollFirst();
     }
   }
 
   /**
-   * Finds the least place that shows everything acknowledged longer ago than an age.
+   * Finds the lowest position that shows every commit acknowledged longer ago than an age.
    *
-   * @param now present time
+   * @param now current time
    * @param ageMillis the age
-   * @return place, or null when no sample is young enough
+   * @return position, or null when no sample is recent enough
    */
   public TermPosition floor(long now, long ageMillis) {
     for (Sample sample : samples) {
-      if (now - sample.askedMillis() <= ageMillis) {
+      if (now - sample.requestedMillis() <= ageMillis) {
         return sample.position();
       }
     }
@@ -56,25 +56,26 @@
   }
 
   /**
-   * Finds how long the primary's log is known to have a place.
+   * Finds how long the primary's log is known to have reached a position.
    *
-   * @param position the place
-   * @param now present time
-   * @return milliseconds since the first sample at or after it was asked for; 0 without one
+   * @param position the position
+   * @param now current time
+   * @return milliseconds since the request of the first sample at or after the position; 0 without
+   *     such a sample
    */
   public long knownForMillis(TermPosition position, long now) {
     for (Sample sample : samples) {
       if (sample.position().reaches(position)) {
-        return now - sample.askedMillis();
+        return now - sample.requestedMillis();
       }
     }
     return 0;
   }
 
   /**
-   * Returns the newest place.
+   * Returns the newest position.
    *
-   * @return place, or {@link TermPosition#ZERO} before the first sample
+   * @return position, or {@link TermPosition#ZERO} before the first sample
    */
   public TermPosition newest() {
     return samples.isEmpty() ? TermPosition.ZERO : samples.peekLast().position();
--- a/server/src/main/java/org/streamcourse/request/routing/ReadSearch.java
+++ b/server/src/main/java/org/streamcourse/request/routing/ReadSearch.java
@@ -10,30 +10,32 @@
 import org.streamcourse.version.image.MemberId;
 
 /**
- * Which members one read is brought to, one after the other.
+ * Selects the members to which one read is sent, one after the other.
  *
  * <p>All methods run on the proxy's worker.
  */
 final class ReadSearch {
   /**
-   * Answers BEHIND of one member after which it is left out. The first corrects what is known of
-   * its lag, so that the read waits for the right time; a second one shows that it is not known.
+   * Number of BEHIND answers after which a member is left out. The first corrects the known lag of
+   * the member, so that the read then waits for the right time; a second one shows that the
+   * member's lag cannot be estimated.
    */
-  private static final int MOST_BEHIND = 2;
+  private static final int MAX_BEHIND_ANSWERS = 2;
 
   /**
-   * A member for a read.
+   * A member selected for a read.
    *
-   * @param links links to it
-   * @param floor what it must have, and how long the read may wait for that
-   * @param holdMillis time after which it is asked; a holder of connections itself waits instead
+   * @param links link pool of the member
+   * @param floor lowest log position that the read must observe, and the longest wait for it
+   * @param delayMillis delay before a link is requested; 0 for a relayed read, whose holder waits
+   *     instead
    */
-  record Target(MemberLinks links, ReadFloor floor, long holdMillis) {}
+  record Target(MemberLinks links, ReadFloor floor, long delayMillis) {}
 
   private final RequestLog log;
   private final StatementContext context;
   private final Set<MemberId> leftOut = new HashSet<>();
-  private final Map<MemberId, Integer> behind = new HashMap<>();
+  private final Map<MemberId, Integer> behindAnswers = new HashMap<>();
 
   ReadSearch(RequestLog log, StatementContext context) {
     this.log = log;
@@ -44,53 +46,53 @@
     leftOut.add(member);
   }
 
-  /** A member answered BEHIND. A holder of connections has asked it again by itself. */
-  void wasBehind(MemberLinks links) {
+  /** Records that a member answered BEHIND. For a relayed read, the holder has already retried. */
+  void recordBehind(MemberLinks links) {
     MemberId member = links.member().id();
-    if (behind.merge(member, 1, Integer::sum) >= MOST_BEHIND || !links.holdsLinks()) {
+    if (behindAnswers.merge(member, 1, Integer::sum) >= MAX_BEHIND_ANSWERS || !links.holdsLinks()) {
       leaveOut(member);
     }
   }
 
   /**
-   * Finds the next member. Without a usable primary a member is asked also if it is believed to
-   * have the floor too late, since what is known may be wrong.
+   * Finds the next member. Without a usable primary, also selects a member that is expected to
+   * reach the floor too late, because the estimate may be wrong.
    *
    * @param members members of the service
-   * @param floor what the read needs
-   * @param mostMillis longest time that the read may wait
-   * @return target, or null when none is left that can serve it in time
+   * @param floor lowest log position that the read must observe
+   * @param maxWaitMillis longest time for which the read may wait
+   * @return target, or null when no remaining member can serve the read in time
    */
-  Target next(ServiceMembers members, ReadFloor floor, long mostMillis) {
+  Target next(ServiceMembers members, ReadFloor floor, long maxWaitMillis) {
     List<MemberChoice.Candidate> candidates = members.candidates(leftOut, floor, context.tenant());
     MemberChoice.Chosen choice = MemberChoice.choose(candidates, context.tenant());
     if (choice == null) {
       return null;
     }
-    boolean tooLate = choice.chosen().catchUpMillis() > mostMillis;
-    if (tooLate && mayAskPrimary(members)) {
+    boolean tooLate = choice.chosen().catchUpMillis() > maxWaitMillis;
+    if (tooLate && isPrimaryAvailable(members)) {
       return null;
     }
-    tellLeftOut(members, candidates, choice.chosen());
+    logLeftOut(members, candidates, choice.chosen());
     MemberLinks links = members.links(choice.chosen().id());
-    boolean holds = links.holdsLinks() && !tooLate;
-    long hold = holds ? choice.chosen().catchUpMillis() : 0;
-    return new Target(links, members.floorAt(choice, floor, mostMillis), hold);
+    boolean isOwn = links.holdsLinks() && !tooLate;
+    long delay = isOwn ? choice.chosen().catchUpMillis() : 0;
+    return new Target(links, members.floorAt(choice, floor, maxWaitMillis), delay);
   }
 
-  private boolean mayAskPrimary(ServiceMembers members) {
+  private boolean isPrimaryAvailable(ServiceMembers members) {
     MemberLinks primary = members.primary();
     return primary != null && !leftOut.contains(primary.member().id());
   }
 
-  private void tellLeftOut(
+  private void logLeftOut(
       ServiceMembers members,
       List<MemberChoice.Candidate> candidates,
       MemberChoice.Candidate chosen) {
     for (MemberChoice.Candidate each : candidates) {
-      if (each.isHeldBack() && !each.id().equals(chosen.id())) {
-        long known = members.links(each.id()).state().ageMillis();
-        log.leftOut(context, each, known, chosen);
+      if (each.isDelayed() && !each.id().equals(chosen.id())) {
+        long knownMillis = members.links(each.id()).state().ageMillis();
+        log.leftOut(context, each, knownMillis, chosen);
       }
     }
   }
--- a/server/src/main/java/org/streamcourse/request/routing/RequestLog.java
+++ b/server/src/main/java/org/streamcourse/request/routing/RequestLog.java
@@ -14,9 +14,9 @@
 import org.streamcourse.version.image.MemberId;
 
 /**
- * Tells what was decided about callers' statements: one line for each refusal, failure and change
- * of member, and one for each completed statement among a sample. A statement's id stands in every
- * line; no text or row of it does.
+ * Logs the decisions about callers' statements: one line for each refusal, failure and change of
+ * member, and one for each completed statement of a sample. Every line contains the statement's id;
+ * no line contains text or rows of a statement.
  *
  * <p>All methods run on the proxy's worker.
  */
@@ -28,17 +28,18 @@
   private final Map<AnswerCode, Long> outcomes = new EnumMap<>(AnswerCode.class);
   private StatementObserver observer = StatementObserver.NONE;
   private long reroutes;
-  private long otherHolders;
+  private long holderRetries;
   private long refusedForOthers;
   private long leftOut;
-  private long triedElsewhere;
-  private long triesDenied;
+  private long lateRetries;
+  private long lateRetriesDenied;
 
   /**
    * Creates a log.
    *
-   * @param budget bounds the lines
-   * @param sampleEvery of how many statement ids one is told when it completes; 0 for none
+   * @param budget bounds the number of lines
+   * @param sampleEvery one in so many completed statements is logged, selected by statement id; 0
+   *     for none
    */
   public RequestLog(LineBudget budget, int sampleEvery) {
     this.budget = budget;
@@ -46,25 +47,25 @@
   }
 
   /**
-   * Sets who hears how long statements take.
+   * Sets the observer of statement times.
    *
-   * @param next hears it on the proxy's worker
+   * @param next observer, called on the proxy's worker
    */
   public void observe(StatementObserver next) {
     observer = next;
   }
 
-  /** Returns who hears how long the stages of statements take. */
+  /** Returns the observer of statement times. */
   StatementObserver observer() {
     return observer;
   }
 
   /**
-   * A statement got its final answer.
+   * Logs and counts the final answer to a statement.
    *
    * @param context the statement
    * @param answer the answer
-   * @param tookMillis time since it came
+   * @param tookMillis time since the statement arrived
    */
   public void answered(StatementContext context, Answer answer, long tookMillis) {
     outcomes.merge(answer.code(), 1L, Long::sum);
@@ -83,7 +84,10 @@
     }
   }
 
-  /** A member did not run a statement, or a read of it failed, and another way is looked for. */
+  /**
+   * Logs that a member did not run a statement, or that a read failed there; the statement is sent
+   * again, waits for a change of the image, or is answered with an error.
+   */
   void notRun(
       StatementContext context,
       MemberId member,
@@ -103,11 +107,12 @@
   }
 
   /**
-   * A member was left out, since it lacks what a read needs or owes answers to all.
+   * Logs that a member was not chosen for a read, because it has not reached the read's floor or
+   * leaves all requests unanswered.
    *
    * @param context the read
-   * @param member what is known of the member
-   * @param knownMillis age of that knowledge
+   * @param member estimates for the member that was left out
+   * @param knownMillis age of the data behind these estimates
    * @param chosen member that was chosen
    */
   void leftOut(
@@ -130,18 +135,19 @@
   }
 
   /**
-   * A read's answer is late, and another member is asked as well if the budget allows it.
+   * Logs that a read's answer is late. The read is sent to another member as well if the retry
+   * budget allows it.
    *
    * @param context the read
-   * @param member member that owes the answer
-   * @param waitedMillis time since it was sent there
-   * @param allowed whether another is asked
+   * @param member member whose answer is outstanding
+   * @param waitedMillis time since the read was sent to the member
+   * @param allowed whether the read is sent to another member
    */
   void late(StatementContext context, MemberId member, long waitedMillis, boolean allowed) {
     if (allowed) {
-      triedElsewhere++;
+      lateRetries++;
     } else {
-      triesDenied++;
+      lateRetriesDenied++;
     }
     if (budget.take()) {
       LOG.info(
@@ -153,13 +159,13 @@
     }
   }
 
-  /** Returns what tells how holders of connections fail for a statement. */
+  /** Returns a listener that logs failures of holders to run a statement. */
   HolderListener holderListener(StatementContext context) {
     return new HolderListener() {
       @Override
       public void notRun(
           String holder, long stream, boolean handedOver, String cause, boolean asksAnother) {
-        otherHolders += asksAnother ? 1 : 0;
+        holderRetries += asksAnother ? 1 : 0;
         if (budget.take()) {
           LOG.info(
               "statement not run by holder {} {} {} {} {} {}",
@@ -187,11 +193,12 @@
   }
 
   /**
-   * This node holds connections and gives none for another node's statement; nothing was run.
+   * Logs that this node, as a holder, granted no connection for another node's statement; nothing
+   * was run.
    *
-   * @param open the stream's beginning
-   * @param sender node that has the statement
-   * @param cause why
+   * @param open message that opened the stream
+   * @param sender node that sent the statement
+   * @param cause why no connection was granted
    */
   public void refusedForOther(RelayMessage.Open open, String sender, String cause) {
     refusedForOthers++;
@@ -207,12 +214,12 @@
   }
 
   /**
-   * Another node's stream ends here with an answer owed.
+   * Logs that another node's stream ended at this holder with an answer outstanding.
    *
-   * @param open the stream's beginning
-   * @param sender node that has the statement
-   * @param hadLink whether a connection was granted, so that the member may have been asked
-   * @param cause what happened
+   * @param open message that opened the stream
+   * @param sender node that sent the statement
+   * @param hadLink whether a connection was granted, so that the member may have run the statement
+   * @param cause why the stream ended
    */
   public void endedUnanswered(
       RelayMessage.Open open, String sender, boolean hadLink, String cause) {
@@ -229,10 +236,10 @@
   }
 
   /**
-   * An operation was not run since its tenant has used up its limit here.
+   * Logs that an operation was not run because its tenant's limit is used up.
    *
-   * @param context its statement
-   * @param cause what was known of the limit
+   * @param context statement of the operation
+   * @param cause state of the limit
    */
   public void overLimit(StatementContext context, String cause) {
     if (budget.take()) {
@@ -244,7 +251,7 @@
     }
   }
 
-  /** This node gives a statement up. */
+  /** Logs that this node answers a statement with an error of its own. */
   void refused(
       StatementContext context,
       AnswerCode code,
@@ -263,24 +270,24 @@
   }
 
   /**
-   * A session began or could not begin, or a transaction was ended by this node.
+   * Logs that a session began or could not begin, or that this node ended a transaction.
    *
    * @param session session's number on this node
    * @param database database name
-   * @param what what was decided
+   * @param decision what was decided
    */
-  public void session(long session, String database, String what) {
+  public void session(long session, String database, String decision) {
     if (budget.take()) {
       LOG.info(
           "session {} {} {}",
           keyValue("session", session),
           keyValue("database", database),
-          keyValue("decided", what));
+          keyValue("decided", decision));
     }
   }
 
-  /** Tells the lines that were dropped; to be called about once a second. */
-  public void tellDropped() {
+  /** Logs the number of lines dropped by the budget; must be called about once a second. */
+  public void logDropped() {
     long dropped = budget.takeDropped();
     if (dropped > 0) {
       LOG.warn("lines dropped {}", keyValue("lines", dropped));
@@ -288,9 +295,9 @@
   }
 
   /**
-   * Counts answers.
+   * Counts final answers with a code.
    *
-   * @param code how they ended
+   * @param code code of the answers
    * @return count since the start
    */
   public long count(AnswerCode code) {
@@ -298,16 +305,16 @@
   }
 
   /**
-   * Counts the times that another holder of connections was asked.
+   * Counts the times that a statement was sent to another holder after one did not run it.
    *
    * @return count since the start
    */
-  public long otherHolders() {
-    return otherHolders;
+  public long holderRetries() {
+    return holderRetries;
   }
 
   /**
-   * Counts other nodes' statements for which this node gave no connection.
+   * Counts other nodes' statements for which this node, as a holder, granted no connection.
    *
    * @return count since the start
    */
@@ -316,7 +323,7 @@
   }
 
   /**
-   * Counts the times that a member was left out of a read's choice.
+   * Counts the times that a member was left out of the choice for a read.
    *
    * @return count since the start
    */
@@ -325,25 +332,25 @@
   }
 
   /**
-   * Counts reads that another member was asked for since their answer was late.
+   * Counts reads that were sent to a second member because their answer was late.
    *
    * @return count since the start
    */
-  public long triedElsewhere() {
-    return triedElsewhere;
+  public long lateRetries() {
+    return lateRetries;
   }
 
   /**
-   * Counts reads whose answer was late and for which the budget of repeats allowed none.
+   * Counts reads whose answer was late and for which the retry budget was spent.
    *
    * @return count since the start
    */
-  public long triesDenied() {
-    return triesDenied;
+  public long lateRetriesDenied() {
+    return lateRetriesDenied;
   }
 
   /**
-   * Counts the times that another member was looked for.
+   * Counts the times that a member did not run a statement or failed a read.
    *
    * @return count since the start
    */
--- a/server/src/main/java/org/streamcourse/request/routing/ServiceMembers.java
+++ b/server/src/main/java/org/streamcourse/request/routing/ServiceMembers.java
@@ -17,39 +17,39 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * The members of one service as this node sees them: its links to each, how fast each answers, and
- * where the primary's log stood.
+ * State of the members of one service at this node: the link pool and answer times of each member,
+ * and the log positions of the primary.
  *
  * <p>All methods run on the proxy's worker.
  */
 public final class ServiceMembers {
-  private static final double FIRST_LATENCY_SAME_ZONE_MILLIS = 20;
-  private static final double FIRST_LATENCY_ELSEWHERE_MILLIS = 60;
+  private static final double INITIAL_LATENCY_SAME_ZONE_MILLIS = 20;
+  private static final double INITIAL_LATENCY_ELSEWHERE_MILLIS = 60;
 
   /**
-   * Least time that a read may wait for a replica before it looks elsewhere: to be refused and to
-   * reach another member takes about as long between regions.
+   * Least time for which a read may wait for a replica to catch up. A refusal and a second attempt
+   * at a member of another region take about as long.
    */
-  private static final long LEAST_CATCH_UP_WAIT_MILLIS = 40;
+  private static final long MIN_CATCH_UP_WAIT_MILLIS = 40;
 
-  /** What was seen of one member's answers. */
-  private static final class Observation {
+  /** Answer times and newest log position of one member. */
+  private static final class AnswerStats {
     private final AnswerTimes times;
     private final Map<String, AnswerTimes> timesOfDatabases = new HashMap<>();
     private TermPosition position = TermPosition.ZERO;
 
-    Observation(double firstMillis) {
-      times = new AnswerTimes(firstMillis);
+    AnswerStats(double initialMillis) {
+      times = new AnswerTimes(initialMillis);
     }
   }
 
   private final Worker worker;
   private final String zone;
-  private final Map<MemberId, Observation> observations = new HashMap<>();
+  private final Map<MemberId, AnswerStats> answerStats = new HashMap<>();
   private final PrimaryPositions primaryPositions = new PrimaryPositions();
   private final PositionProbe positionProbe;
   private final MemberWatch memberWatch;
-  private final ReadRetries readRetries = new ReadRetries();
+  private final ReadRetryBudget retryBudget = new ReadRetryBudget();
   private Map<MemberId, MemberLinks> members = new TreeMap<>();
   private MemberId primary = MemberId.NONE;
   private MemberId promotion = MemberId.NONE;
@@ -71,7 +71,7 @@
           }
         });
     members = new TreeMap<>(next);
-    observations.keySet().retainAll(members.keySet());
+    answerStats.keySet().retainAll(members.keySet());
     if (!agreedPrimary.equals(primary)) {
       deposed = MemberId.NONE;
     }
@@ -97,7 +97,7 @@
   }
 
   /**
-   * Returns what is known of the primary's log.
+   * Returns the known positions of the primary's log.
    *
    * @return samples
    */
@@ -106,32 +106,32 @@
   }
 
   /**
-   * Asks where the primary's log stands, over any link, or over one of the tenant where none is
-   * idle; {@code next} runs when the question has ended.
+   * Probes the primary's log position over any idle link, or over a link of the tenant when none is
+   * idle; {@code onEnd} runs when the probe has ended.
    */
-  void askPosition(TenantId tenant, Runnable next) {
-    positionProbe.ask(tenant, next);
+  void probePrimaryPosition(TenantId tenant, Runnable onEnd) {
+    positionProbe.start(tenant, onEnd);
   }
 
-  /** Looks after the members to which this node has links, and tells other nodes of them. */
+  /** Checks the members to which this node has links and sends observations to other nodes. */
   void watch(String service, MemberRelay.ObservationListener listener) {
     memberWatch.check(service, lastReader, listener);
   }
 
   /**
-   * Returns the place that a member told last.
+   * Returns the newest log position in answers of a member.
    *
    * @param id the member
-   * @return place in its log
+   * @return position, or {@link TermPosition#ZERO} when none is known
    */
   public TermPosition position(MemberId id) {
-    Observation seen = observations.get(id);
-    return seen == null ? TermPosition.ZERO : seen.position;
+    AnswerStats stats = answerStats.get(id);
+    return stats == null ? TermPosition.ZERO : stats.position;
   }
 
-  /** What reads of the service may be tried a second time. */
-  ReadRetries readRetries() {
-    return readRetries;
+  /** Returns the budget for sending reads of the service to a second member. */
+  ReadRetryBudget retryBudget() {
+    return retryBudget;
   }
 
   // ---- choice ----
@@ -139,7 +139,7 @@
   /**
    * Finds the member that is believed to be primary.
    *
-   * @return its links, or null when none is known or usable
+   * @return link pool of the member, or null when none is known or usable
    */
   MemberLinks primary() {
     MemberLinks known = primary.equals(deposed) ? null : usablePrimary(primary);
@@ -151,43 +151,44 @@
     return links != null && links.isUsableAsPrimary() ? links : null;
   }
 
-  /** Whether another member than one can be asked. */
+  /** Returns whether a member other than the given one is usable. */
   boolean hasOther(MemberId id) {
     return members.values().stream()
         .anyMatch(links -> links.isUsable() && !links.member().id().equals(id));
   }
 
-  /** Whether links lead to the member that is agreed to be primary. */
-  boolean leadsToPrimary(MemberLinks links) {
+  /** Returns whether a link pool belongs to the primary of the image. */
+  boolean isOfPrimary(MemberLinks links) {
     return links.member().id().equals(primary);
   }
 
-  /** Whether a replica takes reads, now or once it has caught up. */
+  /** Returns whether a replica can serve reads, now or once it has caught up. */
   boolean hasUsableReplica() {
     return members.values().stream()
         .anyMatch(links -> links.isUsable() && !links.member().id().equals(primary));
   }
 
-  /** A member said that it is not primary, though it was believed to be. */
-  void notPrimary(MemberId id) {
+  /** Records that a member answered that it is not primary. */
+  void markNotPrimary(MemberId id) {
     if (id.equals(primary)) {
       deposed = id;
     }
   }
 
-  /** A member has shown that it is primary. */
-  void isPrimary(MemberId id) {
+  /** Records that an answer has shown a member to be primary. */
+  void markPrimary(MemberId id) {
     if (id.equals(deposed)) {
       deposed = MemberId.NONE;
     }
   }
 
-  /** Members for a read of a tenant, as they are known now. */
-  List<MemberChoice.Candidate> candidates(Set<MemberId> without, ReadFloor floor, TenantId reader) {
+  /** Returns the usable members for a read of a tenant, with the current estimates. */
+  List<MemberChoice.Candidate> candidates(
+      Set<MemberId> excluded, ReadFloor floor, TenantId reader) {
     lastReader = reader;
     List<MemberChoice.Candidate> candidates = new ArrayList<>();
     for (MemberLinks links : members.values()) {
-      if (links.isUsable() && !without.contains(links.member().id())) {
+      if (links.isUsable() && !excluded.contains(links.member().id())) {
         candidates.add(candidate(links, floor));
       }
     }
@@ -200,7 +201,7 @@
     return new MemberChoice.Candidate(
         id,
         id.equals(primary),
-        observation(id).times.expectedMillis(worker.now()),
+        stats(id).times.expectedMillis(worker.now()),
         links.used(),
         Math.max(links.estimatedWaitMillis(), known.toldWaitMillis()),
         id.equals(primary) ? 0 : known.untilServes(floor),
@@ -208,44 +209,45 @@
   }
 
   /**
-   * Tells what a read needs.
+   * Builds the floor of a read.
    *
-   * @param position the place
-   * @return the place with its age
+   * @param position lowest log position that the read must observe
+   * @return the position, with the time since the primary is known to have reached it
    */
   ReadFloor floor(TermPosition position) {
     long age = primaryPositions.knownForMillis(position, worker.now());
-    return new ReadFloor(position, age, LEAST_CATCH_UP_WAIT_MILLIS);
+    return new ReadFloor(position, age, MIN_CATCH_UP_WAIT_MILLIS);
   }
 
-  /** What a read needs, and how long it may wait at the chosen member for it. */
-  ReadFloor floorAt(MemberChoice.Chosen choice, ReadFloor floor, long mostMillis) {
-    double wait = choice.chosen().catchUpMillis() + choice.spareMillis();
-    long bounded = Math.round(Math.min(mostMillis, Math.max(LEAST_CATCH_UP_WAIT_MILLIS, wait)));
+  /** Returns the floor with the longest wait for it at the chosen member. */
+  ReadFloor floorAt(MemberChoice.Chosen choice, ReadFloor floor, long maxMillis) {
+    double wait = choice.chosen().catchUpMillis() + choice.marginMillis();
+    long bounded = Math.round(Math.min(maxMillis, Math.max(MIN_CATCH_UP_WAIT_MILLIS, wait)));
     return new ReadFloor(floor.position(), floor.ageMillis(), bounded);
   }
 
   // ---- observations ----
 
   /**
-   * The primary's log stood at a place.
+   * Records a log position of the primary.
    *
-   * @param askedMillis time at which the statement was sent
-   * @param position place that it told
+   * @param sentMillis time at which the statement was sent
+   * @param position log position in the answer
    */
-  void primaryAt(long askedMillis, TermPosition position) {
-    primaryPositions.add(askedMillis, position);
-    long age = worker.now() - askedMillis;
+  void recordPrimaryPosition(long sentMillis, TermPosition position) {
+    primaryPositions.add(sentMillis, position);
+    long age = worker.now() - sentMillis;
     members.values().forEach(links -> links.state().primaryHad(position, age));
   }
 
-  void answered(MemberId id, String database, long latencyMillis, TermPosition position) {
-    Observation seen = observation(id);
+  /** Records the answer time and log position of a member. */
+  void recordAnswer(MemberId id, String database, long latencyMillis, TermPosition position) {
+    AnswerStats stats = stats(id);
     long now = worker.now();
-    seen.times.add(latencyMillis, now);
+    stats.times.add(latencyMillis, now);
     timesOf(id, database).add(latencyMillis, now);
     if (position != null) {
-      seen.position = seen.position.max(position);
+      stats.position = stats.position.max(position);
     }
     MemberLinks links = members.get(id);
     if (links != null && links.holdsLinks()) {
@@ -253,27 +255,27 @@
     }
   }
 
-  /** How long a member takes for the statements of one database name, which are of a kind. */
+  /** Returns the answer times of a member for one database name; its statements are similar. */
   AnswerTimes timesOf(MemberId id, String database) {
-    Observation seen = observation(id);
-    return seen.timesOfDatabases.computeIfAbsent(
-        database, any -> new AnswerTimes(firstMillis(members.get(id))));
+    AnswerStats stats = stats(id);
+    return stats.timesOfDatabases.computeIfAbsent(
+        database, any -> new AnswerTimes(initialMillis(members.get(id))));
   }
 
-  /** A member said itself that it lacks a place. */
-  void behind(MemberId id, ReadFloor floor) {
+  /** Records that a member answered that it has not reached a floor. */
+  void recordBehind(MemberId id, ReadFloor floor) {
     MemberLinks links = members.get(id);
     if (links != null) {
       links.state().lacks(floor);
     }
   }
 
-  private Observation observation(MemberId id) {
-    return observations.computeIfAbsent(id, any -> new Observation(firstMillis(members.get(id))));
+  private AnswerStats stats(MemberId id) {
+    return answerStats.computeIfAbsent(id, any -> new AnswerStats(initialMillis(members.get(id))));
   }
 
-  private double firstMillis(MemberLinks links) {
+  private double initialMillis(MemberLinks links) {
     boolean near = links != null && links.member().zone().equals(zone);
-    return near ? FIRST_LATENCY_SAME_ZONE_MILLIS : FIRST_LATENCY_ELSEWHERE_MILLIS;
+    return near ? INITIAL_LATENCY_SAME_ZONE_MILLIS : INITIAL_LATENCY_ELSEWHERE_MILLIS;
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/StatementAttempt.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementAttempt.java
@@ -17,19 +17,19 @@
 import reactor.core.Disposable;
 
 /**
- * Brings one statement outside a transaction, or the beginning of a transaction, to a member, and
- * to another one where that is safe.
+ * Sends one statement outside a transaction, or the beginning of a transaction, to a member, and
+ * retries it at another member where that is safe.
  *
- * <p>What is promised:
+ * <p>Guarantees:
  *
  * <ul>
- *   <li>A read at a replica asks for a place that shows all it must have seen; the member refuses
- *       when its log lacks it.
- *   <li>A read at the primary runs within a transaction that only a primary begins and carries on,
+ *   <li>A read at a replica carries a floor, the lowest log position that it must observe; the
+ *       member refuses the read when its log has not reached the floor.
+ *   <li>A read at the primary runs within a transaction that only a primary begins and continues,
  *       so a replaced primary can't answer it.
- *   <li>A write that was sent is not sent again unless the member said that it was not run; without
- *       an answer the outcome is unknown.
- *   <li>Whatever is given up is answered at once.
+ *   <li>A write that was sent is not sent again unless the member answered that it was not run;
+ *       without an answer the outcome is unknown.
+ *   <li>A statement that is abandoned is answered at once.
  * </ul>
  *
  * <p>All methods run on the proxy's worker.
@@ -37,7 +37,7 @@
 final class StatementAttempt {
   private static final long RETRY_AFTER_MILLIS = 100;
 
-  /** Added to the rank of a read at the primary that a replica could serve: all else goes first. */
+  /** Rank added to reads at the primary that a replica could serve; others get links first. */
   private static final int DIVERTED_RANK = 1_000;
 
   private final Worker worker;
@@ -51,22 +51,22 @@
   private StatementPlan plan;
   private boolean done;
 
-  /** What a member was asked and has not answered, or null while none is asked. */
+  /** The call whose answer is outstanding, or null. */
   private MemberCall call;
 
   private ServiceMembers members;
   private MemberLinks links;
   private int attempts;
-  private int turn;
-  private boolean askedForFloor;
+  private int waitNumber;
+  private boolean floorProbed;
   private boolean diverted;
   private String lastCause = "no member is known";
   private Disposable timeout = () -> {};
 
-  /** Hears of the attempt. */
+  /** Receives the progress and the result of the attempt. */
   interface Listener extends ExecutionListener {
     /**
-     * A read, or the beginning of a transaction that only reads, was sent to a member.
+     * Called when a read, or the beginning of a read-only transaction, was sent to a member.
      *
      * @param member the member
      */
@@ -77,12 +77,12 @@
    * Creates an attempt.
    *
    * @param worker the proxy's worker
-   * @param table members
-   * @param log tells what is decided
+   * @param table services and members
+   * @param log request log
    * @param context the statement and its session
-   * @param plan what is asked of a member
-   * @param times how long the statement may take
-   * @param listener hears the end
+   * @param plan how a member runs the statement
+   * @param times time limits of the statement
+   * @param listener receives the result
    */
   StatementAttempt(
       Worker worker,
@@ -103,18 +103,17 @@
     this.times = times;
   }
 
-  /** Leaves a member out; to be called before the start. */
+  /** Excludes a member; must be called before {@link #start}. */
   void leaveOut(MemberId member) {
     search.leaveOut(member);
   }
 
-  /** Starts. */
   void start() {
     timeout = worker.schedule(times.remainingMillis(worker.now()), this::timedOut);
     attempt();
   }
 
-  /** Gives up without an answer, since the caller has left. */
+  /** Ends the attempt without an answer, because the caller has disconnected. */
   void cancel() {
     if (call != null) {
       call.drop();
@@ -122,7 +121,7 @@
     end();
   }
 
-  /** Gives up since another attempt has the answer; a link in use goes back once answered. */
+  /** Ends the attempt; a link in use is returned to its pool once the member answers. */
   void abandon() {
     if (call != null) {
       call.abandon();
@@ -131,17 +130,17 @@
     done = true;
   }
 
-  /** Whether the statement may be offered to one more member than now. */
-  boolean mayBeOfferedAgain() {
+  /** Returns whether the route allows the statement at one more member. */
+  boolean mayTryAnotherMember() {
     return attempts + 1 < context.route().attempts();
   }
 
-  /** Lets this be the last member that the attempt offers the statement to. */
-  void offerNoFurther() {
+  /** Prevents further retries at other members. */
+  void stopRetries() {
     attempts = context.route().attempts();
   }
 
-  /** Whether a member has been asked and owes the answer. */
+  /** Returns whether a member's answer is outstanding. */
   boolean awaitsAnswer() {
     return call != null && call.awaitsAnswer();
   }
@@ -150,66 +149,66 @@
     if (done) {
       return;
     }
-    turn++;
+    waitNumber++;
     members = table.service(context.route().service());
     if (members == null) {
       waitForChange("no member of the service is known");
       return;
     }
     if (plan.needsPrimary()) {
-      askPrimary();
+      requestPrimary();
       return;
     }
     TermPosition floor = context.floor(members.primaryPositions(), worker.now());
     if (floor == null) {
-      askForFloor();
+      probeFloor();
     } else {
-      askAny(members.floor(floor));
+      requestAnyMember(members.floor(floor));
     }
   }
 
-  private void askPrimary() {
+  private void requestPrimary() {
     links = members.primary();
     if (links == null) {
       waitForChange("no primary is known");
     } else {
-      links.acquire(new Wish(turn, null));
+      links.acquire(new LinkWait(waitNumber, null));
     }
   }
 
-  private void askAny(ReadFloor floor) {
+  private void requestAnyMember(ReadFloor floor) {
     ReadSearch.Target target = search.next(members, floor, times.longestWaitMillis());
     if (target == null) {
-      toPrimary("no other member can serve the read");
+      divertToPrimary("no other member can serve the read");
       return;
     }
     links = target.links();
-    Wish wish = new Wish(turn, target.floor());
-    if (target.holdMillis() > 0) {
-      worker.schedule(target.holdMillis(), wish::acquire);
+    LinkWait linkWait = new LinkWait(waitNumber, target.floor());
+    if (target.delayMillis() > 0) {
+      worker.schedule(target.delayMillis(), linkWait::acquire);
     } else {
-      wish.acquire();
+      linkWait.acquire();
     }
   }
 
-  /** Waits for the primary's word on where its log stands; without it the primary itself reads. */
-  private void askForFloor() {
-    if (askedForFloor) {
-      toPrimary("no fresh place of the primary is known");
+  /** Probes the primary's log position, once; without a position the read goes to the primary. */
+  private void probeFloor() {
+    if (floorProbed) {
+      divertToPrimary("no recent log position of the primary is known");
       return;
     }
-    askedForFloor = true;
-    int askedInTurn = turn;
-    members.askPosition(
+    floorProbed = true;
+    int probedInWait = waitNumber;
+    members.probePrimaryPosition(
         context.tenant(),
         () -> {
-          if (isWaiting(askedInTurn)) {
+          if (isWaiting(probedInWait)) {
             attempt();
           }
         });
   }
 
-  private void toPrimary(String cause) {
+  private void divertToPrimary(String cause) {
     lastCause = cause;
     diverted = true;
     plan =
@@ -219,34 +218,35 @@
     attempt();
   }
 
-  /** Waits for another image, or for a short while. */
+  /** Attempts again at the next change of the image, or after a short delay. */
   private void waitForChange(String cause) {
     lastCause = cause;
-    turn++;
+    waitNumber++;
     imageUpdateTimer.start();
   }
 
-  private boolean isWaiting(int ofTurn) {
-    return !done && call == null && turn == ofTurn;
+  /** Returns whether a wait is the current one; callbacks of earlier waits are ignored. */
+  private boolean isWaiting(int ofWait) {
+    return !done && call == null && waitNumber == ofWait;
   }
 
-  private final class Wish implements LinkRequest {
-    private final int ofTurn;
+  private final class LinkWait implements LinkRequest {
+    private final int ofWait;
     private final ReadFloor floor;
     private final long sinceMillis = worker.now();
 
-    /** Pool that is asked, and rank there: the attempt may go on, and queues are ordered by it. */
+    /** Pool of the requested link; with the rank it stays fixed when the attempt moves on. */
     private final MemberLinks pool = links;
 
     private final int rank = rank();
 
-    Wish(int ofTurn, ReadFloor floor) {
-      this.ofTurn = ofTurn;
+    LinkWait(int ofWait, ReadFloor floor) {
+      this.ofWait = ofWait;
       this.floor = floor;
     }
 
     void acquire() {
-      if (isWaiting(ofTurn)) {
+      if (isWaiting(ofWait)) {
         links.acquire(this);
       }
     }
@@ -262,9 +262,9 @@
     }
 
     private int rank() {
-      boolean atPrimary = diverted || (!plan.needsPrimary() && members.leadsToPrimary(pool));
-      boolean spared = atPrimary && members.hasUsableReplica();
-      return context.route().priority() + (spared ? DIVERTED_RANK : 0);
+      boolean atPrimary = diverted || (!plan.needsPrimary() && members.isOfPrimary(pool));
+      boolean yields = atPrimary && members.hasUsableReplica();
+      return context.route().priority() + (yields ? DIVERTED_RANK : 0);
     }
 
     @Override
@@ -305,12 +305,12 @@
 
     @Override
     public void granted(MemberLink granted) {
-      if (!isWaiting(ofTurn)) {
+      if (!isWaiting(ofWait)) {
         pool.release(granted);
         return;
       }
       log.observer().waitedForLink(times.waitedMillis(worker.now()));
-      call = new MemberCall(worker, log, context, plan, members, links, floor(), new CallEnd());
+      call = new MemberCall(worker, log, context, plan, members, links, floor(), new CallResult());
       call.send(granted, times.waitsUntilMillis(sinceMillis));
       if (!plan.needsPrimary() && awaitsAnswer()) {
         listener.sent(links.member().id());
@@ -319,7 +319,7 @@
 
     @Override
     public void refused(String cause, long retryAfterMillis) {
-      if (turn != ofTurn) {
+      if (waitNumber != ofWait) {
         return;
       }
       if (call != null) {
@@ -332,17 +332,17 @@
     }
   }
 
-  /** The member has no room: a read goes elsewhere, what needs the primary is given up. */
+  /** Sends a read without link or slot to another member; refuses what needs the primary. */
   private void noLink(String cause, long retryAfterMillis) {
     if (plan.needsPrimary() && links.isUsableAsPrimary()) {
       refuse(AnswerCode.BUSY, cause, retryAfterMillis);
     } else {
-      lostUnsent(cause);
+      retryUnsent(cause);
     }
   }
 
-  /** Hears how a call ended. */
-  private final class CallEnd implements MemberCall.Listener {
+  /** Handles the result of a call. */
+  private final class CallResult implements MemberCall.Listener {
     @Override
     public void completed(Answer answer) {
       finish(answer.withState(SessionState.IDLE));
@@ -369,12 +369,12 @@
     public void lost(String cause, boolean unsent) {
       call = null;
       if (unsent) {
-        lostUnsent(cause);
+        retryUnsent(cause);
       } else if (plan == StatementPlan.WRITE) {
         refuse(AnswerCode.OUTCOME_UNKNOWN, "the member was lost: " + cause, 0);
       } else {
         lastCause = cause;
-        readAgain(AnswerCode.FAILED, "the member was lost: " + cause);
+        retryRead(AnswerCode.FAILED, "the member was lost: " + cause);
       }
     }
 
@@ -387,18 +387,18 @@
 
   // ---- failures ----
 
-  /** A member refused; nothing was run. */
+  /** Handles a refusal by a member; nothing was run. */
   private void notRun(Answer answer, ReadFloor floor) {
-    lastCause = answer.code() + " of " + links.member().id();
+    lastCause = answer.code() + " from " + links.member().id();
     log.notRun(context, links.member().id(), answer.code(), plan, attempts);
     switch (answer.code()) {
       case BEHIND -> {
-        members.behind(links.member().id(), floor);
-        search.wasBehind(links);
+        members.recordBehind(links.member().id(), floor);
+        search.recordBehind(links);
         attempt();
       }
       case READ_ONLY -> {
-        members.notPrimary(links.member().id());
+        members.markNotPrimary(links.member().id());
         waitForChange(lastCause);
       }
       case BUSY -> busy(answer);
@@ -410,7 +410,7 @@
     }
   }
 
-  /** The queue of the member is full; it drains while the statement may wait for a link. */
+  /** Handles a full queue of the member, which may drain before the longest wait for a link. */
   private void busy(Answer answer) {
     search.leaveOut(links.member().id());
     if (!plan.needsPrimary()) {
@@ -418,26 +418,26 @@
     } else if (times.waitedMillis(worker.now()) < times.longestWaitMillis()) {
       waitForChange(lastCause);
     } else {
-      refuse(AnswerCode.BUSY, "the primary has no room: " + answer.text(), RETRY_AFTER_MILLIS);
+      refuse(AnswerCode.BUSY, "the primary is busy: " + answer.text(), RETRY_AFTER_MILLIS);
     }
   }
 
-  /** A single statement ended with an error. */
+  /** Handles an error answer to a single statement. */
   private void failed(Answer answer, ReadFloor floor) {
     switch (answer.code()) {
       case FAILED, TIMEOUT -> {
         if (plan == StatementPlan.WRITE) {
           finish(answer.withState(SessionState.IDLE));
         } else {
-          readAgain(answer.code(), answer.text());
+          retryRead(answer.code(), answer.text());
         }
       }
       default -> notRun(answer, floor);
     }
   }
 
-  /** A read changed nothing, so it may go to another member, as often as its route allows. */
-  private void readAgain(AnswerCode code, String text) {
+  /** Sends a read to another member, as often as its route allows; a read changes nothing. */
+  private void retryRead(AnswerCode code, String text) {
     attempts++;
     log.notRun(context, links.member().id(), code, plan, attempts);
     search.leaveOut(links.member().id());
@@ -448,7 +448,7 @@
     }
   }
 
-  private void lostUnsent(String cause) {
+  private void retryUnsent(String cause) {
     lastCause = cause;
     search.leaveOut(links.member().id());
     if (plan.needsPrimary()) {
@@ -460,20 +460,20 @@
 
   private void timedOut() {
     if (done) {
-      // Another attempt had the answer.
+      // Another attempt has already delivered the answer.
       cancel();
     } else if (call == null) {
       refuse(AnswerCode.BUSY, lastCause, RETRY_AFTER_MILLIS);
     } else {
-      runsTooLong();
+      callTimedOut();
     }
   }
 
-  private void runsTooLong() {
-    String notSent = call.whyNotSent();
+  private void callTimedOut() {
+    String notRunCause = call.notRunCause();
     call.drop();
-    if (notSent != null) {
-      refuse(AnswerCode.BUSY, notSent, RETRY_AFTER_MILLIS);
+    if (notRunCause != null) {
+      refuse(AnswerCode.BUSY, notRunCause, RETRY_AFTER_MILLIS);
       return;
     }
     AnswerCode code = plan == StatementPlan.WRITE ? AnswerCode.OUTCOME_UNKNOWN : AnswerCode.TIMEOUT;
--- a/server/src/main/java/org/streamcourse/request/routing/StatementContext.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementContext.java
@@ -12,15 +12,15 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * What the execution of one statement needs to know of its session.
+ * A statement with the state of its session that its execution needs.
  *
  * @param request the statement
- * @param route route of the session's database, as it is now
- * @param tenant whose statement it is
- * @param shape what a prepared name stands for, or null for other statements
- * @param values values of the session
- * @param lastCommit place of the session's newest acknowledged commit
- * @param traceId identity of the statement with a number that is unique on this node
+ * @param route current route of the session's database
+ * @param tenant tenant of the statement
+ * @param shape shape of the executed prepared statement, or null for other statements
+ * @param values session settings
+ * @param lastCommit log position of the session's newest acknowledged commit
+ * @param traceId id of the statement with a number that is unique on this node
  */
 public record StatementContext(
     StatementRequest request,
@@ -30,15 +30,18 @@
     Map<String, String> values,
     TermPosition lastCommit,
     String traceId) {
-  /** Part of a route's staleness limit that is used; the rest covers the way to the member. */
+  /**
+   * Part of a route's staleness limit that the floor uses; the rest covers the time until the read
+   * reaches the member.
+   */
   private static final double STALENESS_SHARE = 0.9;
 
   /**
-   * Finds the place that shows everything that a read of this session must have seen.
+   * Finds the lowest log position that a read of this session must observe.
    *
-   * @param positions where the primary's log stood
-   * @param now present time
-   * @return place, or null when no sample is young enough
+   * @param positions known positions of the primary's log
+   * @param now current time
+   * @return position, or null when no sample is recent enough
    */
   TermPosition floor(PrimaryPositions positions, long now) {
     long age = Math.round(route.maxStalenessMillis() * STALENESS_SHARE);
@@ -53,8 +56,8 @@
   /**
    * Builds the command for the statement, preparing its shape on the link when it needs one.
    *
-   * @param link link on which it will be sent
-   * @param floor place that the member's log must have, or null
+   * @param link link on which the command will be sent
+   * @param floor lowest log position that the statement must observe, or null
    * @return command
    */
   public MemberCommand command(MemberLink link, TermPosition floor) {
@@ -66,7 +69,7 @@
   }
 
   /**
-   * Tells whether the statement writes.
+   * Returns whether the statement writes.
    *
    * @return true for a write and for the execution of a shape that writes
    */
@@ -75,7 +78,7 @@
   }
 
   /**
-   * Tells whether the statement is a commit.
+   * Returns whether the statement is a commit.
    *
    * @return true for a commit
    */
--- a/server/src/main/java/org/streamcourse/request/routing/StatementExecution.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementExecution.java
@@ -9,24 +9,27 @@
 import reactor.core.Disposable;
 
 /**
- * Brings one statement to a member and its answer back. A read whose answer is late is brought to a
- * second member as well, within a budget, and the first answer that completes counts. Whatever
- * writes, or may be run by the primary only, is brought to one member at a time ({@link
+ * Runs one statement at a member and returns the answer. A read whose answer is late is sent to a
+ * second member as well, within the retry budget, and the first successful answer is used. A write,
+ * or a statement that only the primary may run, is sent to one member at a time ({@link
  * StatementAttempt}).
  *
- * <p>Invariant: the listener hears one end; of two transactions that were begun one is rolled back.
+ * <p>Invariant: the listener is called once; if both attempts begin a transaction, one transaction
+ * is rolled back.
  *
  * <p>All methods run on the proxy's worker.
  */
 public final class StatementExecution {
   /**
-   * Part of the target latency after which a read's answer is late at the latest: the other half is
-   * left for the second member.
+   * Part of the target latency after which a read's answer always counts as late; the rest is left
+   * for the second member.
    */
   private static final double LATE_SHARE = 0.5;
 
-  /** Least time after which an answer is late: a way between regions and back, and some work. */
-  private static final long LEAST_LATE_MILLIS = 60;
+  /**
+   * Least time after which an answer is late: a round trip between regions and the member's work.
+   */
+  private static final long MIN_LATE_MILLIS = 60;
 
   private final Worker worker;
   private final MemberTable table;
@@ -37,18 +40,18 @@
   private final long startedMillis;
   private final StatementAttempt first;
   private StatementAttempt second;
-  private Answer failure;
-  private Disposable late = () -> {};
+  private Answer firstFailure;
+  private Disposable lateTimer = () -> {};
 
   /**
    * Creates an execution.
    *
    * @param worker the proxy's worker
-   * @param table members
-   * @param log tells what is decided
+   * @param table services and members
+   * @param log request log
    * @param context the statement and its session
-   * @param plan what is asked of a member
-   * @param listener hears the end
+   * @param plan how a member runs the statement
+   * @param listener receives the result
    */
   public StatementExecution(
       Worker worker,
@@ -67,7 +70,7 @@
     this.first = newAttempt(true);
   }
 
-  private StatementAttempt newAttempt(boolean mayBeRepeated) {
+  private StatementAttempt newAttempt(boolean isFirst) {
     return new StatementAttempt(
         worker,
         table,
@@ -75,21 +78,21 @@
         context,
         plan,
         new StatementTimes(startedMillis, context.route()),
-        new AttemptEnd(mayBeRepeated));
+        new AttemptListener(isFirst));
   }
 
-  /** Starts. */
+  /** Starts the first attempt. */
   public void start() {
     ServiceMembers members = table.service(context.route().service());
     if (members != null && !plan.needsPrimary()) {
-      members.readRetries().readStarted();
+      members.retryBudget().readStarted();
     }
     first.start();
   }
 
-  /** Gives up without an answer, since the caller has left. */
+  /** Ends the execution without an answer, because the caller has disconnected. */
   public void cancel() {
-    late.dispose();
+    lateTimer.dispose();
     first.cancel();
     if (second != null) {
       second.cancel();
@@ -99,83 +102,86 @@
   // ---- late answers ----
 
   private void sent(MemberId member) {
-    late.dispose();
+    lateTimer.dispose();
     ServiceMembers members = table.service(context.route().service());
     if (second != null || members == null) {
       return;
     }
     long now = worker.now();
-    long usual = members.timesOf(member, context.route().database()).lateAfterMillis(now);
+    long usualMillis = members.timesOf(member, context.route().database()).lateAfterMillis(now);
     long target = Math.round(context.route().targetLatencyMillis() * LATE_SHARE);
-    long after = Math.max(LEAST_LATE_MILLIS, Math.min(usual, startedMillis + target - now));
-    late = worker.schedule(after, () -> answerIsLate(member, after));
+    long after = Math.max(MIN_LATE_MILLIS, Math.min(usualMillis, startedMillis + target - now));
+    lateTimer = worker.schedule(after, () -> answerIsLate(member, after));
   }
 
   private void answerIsLate(MemberId member, long waitedMillis) {
     ServiceMembers members = table.service(context.route().service());
-    boolean possible = first.awaitsAnswer() && first.mayBeOfferedAgain();
+    boolean possible = first.awaitsAnswer() && first.mayTryAnotherMember();
     if (!possible || members == null || !members.hasOther(member)) {
       return;
     }
-    boolean allowed = members.readRetries().take();
+    boolean allowed = members.retryBudget().tryTake();
     log.late(context, member, waitedMillis, allowed);
     if (allowed) {
       second = newAttempt(false);
       second.leaveOut(member);
-      // Together they offer it to as many members as the route allows.
-      first.offerNoFurther();
-      second.offerNoFurther();
+      // Two attempts at one member each use up the attempts that the route allows.
+      first.stopRetries();
+      second.stopRetries();
       second.start();
     }
   }
 
   // ---- ends ----
 
-  /** Hears the end of one attempt. */
-  private final class AttemptEnd implements StatementAttempt.Listener {
-    private final boolean mayBeRepeated;
+  /** Handles the result of one attempt. */
+  private final class AttemptListener implements StatementAttempt.Listener {
+    private final boolean isFirst;
 
-    AttemptEnd(boolean mayBeRepeated) {
-      this.mayBeRepeated = mayBeRepeated;
+    AttemptListener(boolean isFirst) {
+      this.isFirst = isFirst;
     }
 
     @Override
     public void sent(MemberId member) {
-      if (mayBeRepeated) {
+      if (isFirst) {
         StatementExecution.this.sent(member);
       }
     }
 
     @Override
     public void finished(Answer answer) {
-      if (!answer.isComplete() && second != null && failure == null) {
-        // The other attempt still runs, and may end better.
-        failure = answer;
+      if (!answer.isComplete() && second != null && firstFailure == null) {
+        // The other attempt is still running and may succeed.
+        firstFailure = answer;
         return;
       }
-      late.dispose();
+      lateTimer.dispose();
       abandonOther();
-      listener.finished(answer.isComplete() ? answer : worse(answer));
+      listener.finished(answer.isComplete() ? answer : failureToReport(answer));
     }
 
     @Override
     public void transactionOpened(MemberLinks links, MemberLink link) {
-      late.dispose();
+      lateTimer.dispose();
       abandonOther();
       listener.transactionOpened(links, link);
     }
 
     private void abandonOther() {
-      StatementAttempt other = mayBeRepeated ? second : first;
+      StatementAttempt other = isFirst ? second : first;
       if (other != null) {
         other.abandon();
       }
     }
   }
 
-  /** Of two failures the one that does not promise that the statement has not run. */
-  private Answer worse(Answer answer) {
-    boolean othersCounts = failure != null && answer.code() == AnswerCode.BUSY;
-    return othersCounts ? failure : answer;
+  /**
+   * Returns the failure to report; of two failures, the one that does not say that the statement
+   * was not run.
+   */
+  private Answer failureToReport(Answer answer) {
+    boolean useFirst = firstFailure != null && answer.code() == AnswerCode.BUSY;
+    return useFirst ? firstFailure : answer;
   }
 }
--- a/server/src/main/java/org/streamcourse/request/routing/StatementObserver.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementObserver.java
@@ -2,9 +2,9 @@
 
 import org.streamcourse.request.statement.AnswerCode;
 
-/** Hears how long statements and their stages took; called on the proxy's worker. */
+/** Observes the duration of statements and of their stages; called on the proxy's worker. */
 public interface StatementObserver {
-  /** Hears nothing. */
+  /** Ignores all observations. */
   StatementObserver NONE =
       new StatementObserver() {
         @Override
@@ -18,24 +18,24 @@
       };
 
   /**
-   * A statement got its final answer.
+   * Called when a statement has its final answer.
    *
-   * @param code how it ended
-   * @param tookMillis time since it came
+   * @param code code of the answer
+   * @param tookMillis time since the statement arrived
    */
   void answered(AnswerCode code, long tookMillis);
 
   /**
-   * A statement got a link to a member.
+   * Called when a statement was granted a link to a member.
    *
-   * @param waitedMillis time since it came
+   * @param waitedMillis time since the statement arrived
    */
   void waitedForLink(long waitedMillis);
 
   /**
-   * A member answered a statement.
+   * Called when a member answered a statement.
    *
-   * @param tookMillis time since it was sent there
+   * @param tookMillis time since the statement was sent to the member
    */
   void memberAnswered(long tookMillis);
 }
--- a/server/src/main/java/org/streamcourse/request/routing/StatementPlan.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementPlan.java
@@ -1,16 +1,16 @@
 package org.streamcourse.request.routing;
 
-/** What is asked of a member. */
+/** How a member runs a statement. */
 public enum StatementPlan {
-  /** One read at any member whose log has the floor. */
+  /** One read at any member whose log has reached the floor. */
   ANY_READ,
   /** One read at the primary, within a transaction of its own. */
   PRIMARY_READ,
   /** One write. */
   WRITE,
-  /** A transaction that only reads, at any member whose log has the floor. */
+  /** A read-only transaction at any member whose log has reached the floor. */
   ANY_TRANSACTION,
-  /** A transaction at the primary. */
+  /** A read-write transaction at the primary. */
   PRIMARY_TRANSACTION;
 
   boolean needsPrimary() {
--- a/server/src/main/java/org/streamcourse/request/routing/StatementTimes.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementTimes.java
@@ -3,52 +3,53 @@
 import org.streamcourse.version.image.RouteRule;
 
 /**
- * How long one statement may take, by worker time.
+ * Time limits of one statement, by the worker's clock.
  *
- * @param startedMillis time at which it came
- * @param route route that bounds it
+ * @param startedMillis time at which the statement arrived
+ * @param route route whose limits apply
  */
 record StatementTimes(long startedMillis, RouteRule route) {
   /** Part of a route's target latency that a statement may wait for one connection. */
   private static final double WAIT_SHARE = 0.5;
 
-  /** Time before the route's time-out at which the answer leaves. */
-  private static final long ANSWER_MILLIS = 10;
+  /** Time before the route's time-out by which the answer is sent. */
+  private static final long ANSWER_MARGIN_MILLIS = 10;
 
   /**
-   * Time before the end within which no wait goes on: for the way of a holder's refusal between
-   * regions and back, else what has not run is in doubt, and for the statement itself.
+   * Time before the deadline at which waits for a connection or slot end. It leaves time to run the
+   * statement, and for the round trip of a holder's refusal between regions; without the refusal,
+   * the outcome of a statement that has not run would be unknown.
    */
-  private static final long RETURN_MILLIS = 100;
+  private static final long WAIT_MARGIN_MILLIS = 100;
 
-  /** Most of a short time-out that is kept for that. */
-  private static final double RETURN_SHARE = 0.25;
+  /** Greatest part of a short time-out that this margin takes. */
+  private static final double WAIT_MARGIN_SHARE = 0.25;
 
-  /** Time at which it is given up. */
+  /** Returns the time at which the statement is abandoned. */
   long deadlineMillis() {
-    return startedMillis + Math.max(1, route.timeoutMillis() - ANSWER_MILLIS);
+    return startedMillis + Math.max(1, route.timeoutMillis() - ANSWER_MARGIN_MILLIS);
   }
 
-  /** Longest wait for one connection, or for one member, in milliseconds. */
+  /** Returns the longest wait for one connection, or for one member, in milliseconds. */
   long longestWaitMillis() {
     return Math.round(route.targetLatencyMillis() * WAIT_SHARE);
   }
 
-  /** Time until which a wait for one connection, and for a slot on it, lasts that begins now. */
+  /** Returns the time at which a wait for a connection and its slot ends that begins now. */
   long waitsUntilMillis(long now) {
-    return Math.min(now + longestWaitMillis(), deadlineMillis() - returnMillis());
+    return Math.min(now + longestWaitMillis(), deadlineMillis() - waitMarginMillis());
   }
 
-  private long returnMillis() {
-    return Math.min(RETURN_MILLIS, Math.round(route.timeoutMillis() * RETURN_SHARE));
+  private long waitMarginMillis() {
+    return Math.min(WAIT_MARGIN_MILLIS, Math.round(route.timeoutMillis() * WAIT_MARGIN_SHARE));
   }
 
-  /** Time until it is given up, in milliseconds. */
+  /** Returns the time until the statement is abandoned, in milliseconds. */
   long remainingMillis(long now) {
     return deadlineMillis() - now;
   }
 
-  /** Time since it came, in milliseconds. */
+  /** Returns the time since the statement arrived, in milliseconds. */
   long waitedMillis(long now) {
     return now - startedMillis;
   }
--- a/server/src/main/java/org/streamcourse/request/routing/package-info.java
+++ b/server/src/main/java/org/streamcourse/request/routing/package-info.java
@@ -1,2 +1,5 @@
-/** Which member runs a statement, what its log must hold, and what happens when it does not. */
+/**
+ * Routing of statements: the choice of a member, the log position that a read must observe, and
+ * retries at other members.
+ */
 package org.streamcourse.request.routing;
--- a/server/src/test/java/org/streamcourse/request/routing/LaggingReplicaTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/LaggingReplicaTest.java
@@ -10,27 +10,27 @@
 import org.testng.annotations.Test;
 
 /**
- * Replicas that fall far behind for some seconds and catch up at once, while many nodes read a
- * little each, as in a fleet of some dozen nodes before several databases: no node sees enough of a
- * member by itself to know how far behind it is.
+ * Replicas that lag far behind for some seconds and then catch up at once, in a fleet of many nodes
+ * with few reads each. Guards against reads at members that lack their floor: no node sees enough
+ * answers of a member to know its lag by itself, so nodes must share observations.
  */
 public class LaggingReplicaTest {
   private static final int NODES = 40;
-  private static final long WAY_MILLIS = 20;
+  private static final long ONE_WAY_MILLIS = 20;
   private static final long USUAL_LAG_MILLIS = 30;
 
-  /** 110 times the usual lag: longer than any read of the route may be stale. */
+  /** 110 times the usual lag, and longer than the staleness limit of the route. */
   private static final long LONG_LAG_MILLIS = 3_300;
 
   private static final int STEP_MILLIS = 10;
-  private static final int READS_A_SECOND = 90;
-  private static final int WRITES_A_SECOND = 20;
+  private static final int READS_PER_SECOND = 90;
+  private static final int WRITES_PER_SECOND = 20;
 
-  /** Of the reads, those that may lose a way to a member that lacks their floor. */
-  private static final double MOST_BEHIND_SHARE = 0.02;
+  /** Greatest share of reads that a member refuses because it lacks their floor. */
+  private static final double MAX_BEHIND_SHARE = 0.02;
 
-  /** The same where two replicas begin to lag at once and the span is half as long. */
-  private static final double MOST_ONSET_SHARE = 0.1;
+  /** The same when two replicas begin to lag at once, over about half of that time. */
+  private static final double MAX_BOTH_BEHIND_SHARE = 0.1;
 
   private static final int SECOND_STEPS = 1_000 / STEP_MILLIS;
 
@@ -38,10 +38,10 @@
   private List<RelayFleet.Node> nodes;
   private Random random;
   private int reads;
-  private int answeredCold;
+  private int answersBeforeLag;
 
   private void start(long seed) {
-    fleet = new RelayFleet(NODES, WAY_MILLIS);
+    fleet = new RelayFleet(NODES, ONE_WAY_MILLIS);
     nodes = fleet.nodes();
     random = new Random(seed);
     reads = 0;
@@ -54,14 +54,14 @@
     fleet.service.lagMillis.put(ScriptedService.SECOND_REPLICA, second);
   }
 
-  /** Reads and writes come to nodes at random. */
+  /** Starts reads and writes at random nodes. */
   private void run(int seconds) {
     for (int step = 0; step < seconds * SECOND_STEPS; step++) {
-      if (random.nextInt(SECOND_STEPS) < READS_A_SECOND) {
+      if (random.nextInt(SECOND_STEPS) < READS_PER_SECOND) {
         reads++;
         anyNode().read("r" + reads);
       }
-      if (random.nextInt(SECOND_STEPS) < WRITES_A_SECOND) {
+      if (random.nextInt(SECOND_STEPS) < WRITES_PER_SECOND) {
         anyNode().write("w" + step + '/' + reads);
       }
       fleet.service.pass(STEP_MILLIS);
@@ -81,7 +81,7 @@
   public void fewReadsGoToAReplicaThatLacksTheirFloor(long seed) {
     start(seed);
     run(4);
-    answeredCold = fleet.service.answers.size();
+    answersBeforeLag = fleet.service.answers.size();
     int before = reads;
     long behindBefore = fleet.service.reroutes();
     setLag(LONG_LAG_MILLIS, USUAL_LAG_MILLIS);
@@ -91,13 +91,13 @@
     fleet.service.pass(1_000);
     long behind = fleet.service.reroutes() - behindBefore;
     int during = reads - before;
-    assertTrue(behind < MOST_BEHIND_SHARE * during, behind + " of " + during + " reads");
+    assertTrue(behind < MAX_BEHIND_SHARE * during, behind + " of " + during + " reads");
     assertEquals(String.join(" ", failures()), "");
   }
 
-  /** Knowledge of a lag must not outlive it. */
+  /** Guards against an observed lag that stays in use after the replica has caught up. */
   @Test
-  public void aReplicaThatHasCaughtUpIsReadAgain() {
+  public void readsReturnToAReplicaThatHasCaughtUp() {
     start(1);
     run(3);
     setLag(LONG_LAG_MILLIS, USUAL_LAG_MILLIS);
@@ -116,24 +116,24 @@
   }
 
   @Test
-  public void whileAllReplicasAreBehindThePrimaryServes() {
+  public void thePrimaryServesReadsWhileAllReplicasLag() {
     start(1);
     run(3);
-    answeredCold = fleet.service.answers.size();
+    answersBeforeLag = fleet.service.answers.size();
     setLag(LONG_LAG_MILLIS, LONG_LAG_MILLIS);
     long before = fleet.service.reroutes();
     int readsBefore = reads;
     run(6);
     fleet.service.pass(1_000);
     long behind = fleet.service.reroutes() - before;
-    assertTrue(behind < MOST_ONSET_SHARE * (reads - readsBefore), behind + " reads behind");
+    assertTrue(behind < MAX_BOTH_BEHIND_SHARE * (reads - readsBefore), behind + " reads behind");
     assertEquals(String.join(" ", failures()), "");
   }
 
-  /** Failures since the fleet has opened its connections. */
+  /** Returns the failures after the warm-up, in which the fleet opens its connections. */
   private List<String> failures() {
     return fleet.service.answers.stream()
-        .skip(answeredCold)
+        .skip(answersBeforeLag)
         .filter(each -> !each.isComplete())
         .map(each -> each.code() + " " + each.text())
         .toList();
--- a/server/src/test/java/org/streamcourse/request/routing/LateAnswerTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/LateAnswerTest.java
@@ -9,15 +9,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Members that run statements and answer late or never, while they accept connections. */
+/** Members that accept connections and statements but answer late or never. */
 public class LateAnswerTest {
-  /** The route's time-out ends before its target latency, so half of the latter is asked for. */
+  /**
+   * Limit for half of the target latency, after which a read is sent to a second member. The whole
+   * target can't be tested, because the route's time-out is shorter.
+   */
   private static final long IN_TIME_MILLIS = ScriptedService.TARGET_MILLIS * 6 / 10;
 
   private static final int WARM_READS = 30;
 
-  /** Reads at once; some go to each replica, and the budget covers those at one. */
-  private static final int MOST_LATE = 6;
+  /**
+   * Number of concurrent reads; both replicas get some, and the retry budget covers those of one.
+   */
+  private static final int CONCURRENT_READS = 6;
 
   private static ScriptedService warm() {
     ScriptedService service = new ScriptedService();
@@ -34,17 +39,17 @@
     return new Object[][] {{ScriptedService.FIRST_REPLICA}, {ScriptedService.SECOND_REPLICA}};
   }
 
-  /** A read that meets a hung replica used to be left there for its whole time. */
+  /** Guards against a read that waits at a hung replica until its time-out. */
   @Test(dataProvider = "replicas")
-  public void aReadIsAskedElsewhereInTimeForItsTarget(String replica) {
+  public void aReadAtAHungReplicaIsRetriedElsewhereWithinItsTarget(String replica) {
     ScriptedService service = warm();
     service.hung.add(replica);
     service.tookMillis.clear();
-    for (int i = 0; i < MOST_LATE; i++) {
+    for (int i = 0; i < CONCURRENT_READS; i++) {
       service.read("late" + i);
     }
     service.pass(2_000);
-    assertEquals(service.completed("late"), MOST_LATE);
+    assertEquals(service.completed("late"), CONCURRENT_READS);
     long longest = Collections.max(service.tookMillis);
     assertTrue(longest <= IN_TIME_MILLIS, longest + " ms");
   }
@@ -55,14 +60,16 @@
     service.hung.add(ScriptedService.PRIMARY);
     service.write("w");
     service.pass(2_000);
-    assertEquals(service.count(ScriptedService.PRIMARY, MemberCommand.Run.class), runsOf(service));
+    assertEquals(
+        service.count(ScriptedService.PRIMARY, MemberCommand.Run.class),
+        distinctRunsAtPrimary(service));
     long inDoubt =
         service.answers.stream().filter(each -> each.code() == AnswerCode.OUTCOME_UNKNOWN).count();
     assertEquals(inDoubt, 1);
   }
 
-  /** The write and whatever reads the primary had before. */
-  private static long runsOf(ScriptedService service) {
+  /** Returns the number of distinct statements that the primary was sent. */
+  private static long distinctRunsAtPrimary(ScriptedService service) {
     return service.commands.get(ScriptedService.PRIMARY).stream()
         .filter(MemberCommand.Run.class::isInstance)
         .map(each -> ((MemberCommand.Run) each).id())
@@ -70,9 +77,9 @@
         .count();
   }
 
-  /** All members become slow at once: repeats would only add to what makes them slow. */
+  /** Guards against retries that overload members further when all members become slow at once. */
   @Test
-  public void repeatsStayASmallShareOfTheLoad() {
+  public void retriesStayASmallShareOfTheLoad() {
     ScriptedService service = warm();
     long before = runs(service);
     service.workMillis = 300;
@@ -83,7 +90,7 @@
     }
     service.pass(3_000);
     long repeated = runs(service) - before - reads;
-    assertTrue(repeated <= reads / 10 + 4, repeated + " repeats of " + reads);
+    assertTrue(repeated <= reads / 10 + 4, repeated + " retries of " + reads);
   }
 
   private static long runs(ScriptedService service) {
@@ -92,7 +99,7 @@
         .sum();
   }
 
-  /** What is still answered goes back to the pool, so that no connection is lost. */
+  /** Guards against a connection that is closed although its late answer arrives in the end. */
   @Test
   public void theLinkOfALateAnswerIsUsedAgain() {
     ScriptedService service = warm();
--- a/server/src/test/java/org/streamcourse/request/routing/LinkOwnershipTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/LinkOwnershipTest.java
@@ -11,16 +11,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Many tenants before a member that accepts few connections, each of which belongs to one tenant:
- * 72 tenants of unequal size before 10 links, as where a small group of databases serves many
- * customers.
+ * 72 tenants that share a member with 10 links, each of which belongs to one tenant at a time.
+ * Guards against statements that run over another tenant's link, and against tenants that get no
+ * link.
  */
 public class LinkOwnershipTest {
   private static final int TENANTS = 72;
   private static final int LINKS = ScriptedService.CONNECTIONS - 1;
   private static final int ROUNDS = 30;
 
-  /** Opening a link takes a way there and an answer here. */
+  /** Work of a statement; opening a link takes a connection and an answer besides. */
   private static final long SHORT_WORK_MILLIS = 5;
 
   private static TenantId tenant(int number) {
@@ -43,15 +43,15 @@
       }
     }
     service.pass(1_000);
-    assertEquals(service.completed(), (long) ROUNDS * TENANTS, "nobody is refused");
+    assertEquals(service.completed(), (long) ROUNDS * TENANTS, "no statement is refused");
     service.ranFor.forEach(
         (id, owner) -> assertEquals(owner, tenant(Integer.parseInt(id.split("/")[1])), id));
     assertTrue(service.mostAtOnce <= LINKS, service.mostAtOnce + " connections at once");
   }
 
-  /** One tenant has just as much to do as all links carry; others come now and then. */
+  /** One tenant uses the full capacity of the links, and others send a statement now and then. */
   @Test
-  public void aBusyTenantStarvesNobody() {
+  public void aBusyTenantDoesNotStarveOthers() {
     ScriptedService service = new ScriptedService();
     service.workMillis = 20;
     List<String> small = new ArrayList<>();
@@ -73,7 +73,7 @@
   }
 
   @Test
-  public void theQuestionForAPlaceOpensNoLinkWhereOneStands() {
+  public void thePositionProbeOpensNoLinkWhileOneIsIdle() {
     ScriptedService service = new ScriptedService();
     write(service, 1, "w");
     service.pass(50);
@@ -86,7 +86,7 @@
   }
 
   @Test
-  public void aMemberWithoutRoomGetsANewLinkInPlaceOfAnIdleOne() {
+  public void atTheConnectionLimitANewLinkReplacesAnIdleOne() {
     ScriptedService service = new ScriptedService();
     write(service, 1, "first");
     service.pass(50);
--- a/server/src/test/java/org/streamcourse/request/routing/LinkQueueTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/LinkQueueTest.java
@@ -6,19 +6,22 @@
 import org.streamcourse.request.statement.AnswerCode;
 import org.testng.annotations.Test;
 
-/** Who waits for a link to a member, how long, and who is refused at once. */
+/** Which requests wait for a link to a member, for how long, and which are refused at once. */
 public class LinkQueueTest {
   private static final int LINKS = ScriptedService.CONNECTIONS - 1;
-  private static final int MOST_WAITING = 16 * LINKS;
+  private static final int MAX_WAITING = 16 * LINKS;
   private static final long LONG_WORK_MILLIS = 100;
   private static final long SHORT_WORK_MILLIS = 10;
-  private static final int TEACHING_WRITES = 30;
+  private static final int SLOW_WRITES = 30;
 
-  /** A service whose links were held for long until now, as by the cold start of all nodes. */
+  /**
+   * Creates a service whose links were held for long, as during a cold start of all nodes; the
+   * expected wait for a link is therefore long.
+   */
   private static ScriptedService afterLongHolds() {
     ScriptedService service = new ScriptedService();
     service.workMillis = LONG_WORK_MILLIS;
-    for (int i = 0; i < TEACHING_WRITES; i++) {
+    for (int i = 0; i < SLOW_WRITES; i++) {
       service.write("t" + i);
       service.pass(LONG_WORK_MILLIS + 20);
     }
@@ -26,13 +29,13 @@
     return service;
   }
 
-  /** A service whose members refuse every connection until told otherwise. */
+  /** Creates a service whose members refuse every connection until {@code setFull(false)}. */
   private static ScriptedService withoutRoomForConnections() {
     ScriptedService service = new ScriptedService();
-    service.loseThePrimary();
+    service.removeMembers();
     service.setFull(true);
     service.worker.repeat(100, service.table::checkHealth);
-    service.agreeOnThePrimary();
+    service.registerMembers();
     service.pass(50);
     return service;
   }
@@ -44,17 +47,17 @@
   }
 
   @Test
-  public void whoIsNotExpectedToGetALinkInTimeWaitsAWhileSinceTheEstimateMayBeTooHigh() {
+  public void aRequestWithATooLongExpectedWaitIsNotRefusedAtOnce() {
     ScriptedService service = afterLongHolds();
     service.workMillis = SHORT_WORK_MILLIS;
     write(service, 100);
-    assertEquals(service.answers.size(), 0, "nobody is refused at once");
+    assertEquals(service.answers.size(), 0, "no request is refused at once");
     service.pass(200);
     assertEquals(service.completed(), 100);
   }
 
   @Test
-  public void whoIsNotExpectedToGetALinkInTimeIsRefusedBeforeAQuarterOfTheTarget() {
+  public void aRequestWithATooLongExpectedWaitIsRefusedWithinAQuarterOfTheTarget() {
     ScriptedService service = afterLongHolds();
     service.workMillis = 10 * LONG_WORK_MILLIS;
     write(service, 100);
@@ -70,7 +73,7 @@
     service.write("first");
     service.pass(50);
     service.answers.clear();
-    write(service, LINKS + MOST_WAITING + 5);
+    write(service, LINKS + MAX_WAITING + 5);
     assertTrue(service.answers.size() >= 5, service.answers.size() + " are refused");
     assertTrue(service.answers.stream().allMatch(each -> each.code() == AnswerCode.BUSY));
   }
@@ -78,11 +81,11 @@
   @Test
   public void aWaitForAPrimaryDoesNotShortenTheWaitForALink() {
     ScriptedService service = new ScriptedService();
-    service.loseThePrimary();
+    service.removeMembers();
     service.write("w");
     service.pass(ScriptedService.TARGET_MILLIS / 2 + 100);
     assertEquals(service.answers.size(), 0, "it waits for a primary");
-    service.agreeOnThePrimary();
+    service.registerMembers();
     service.pass(100);
     assertEquals(service.completed(), 1);
   }
@@ -99,7 +102,7 @@
   }
 
   @Test
-  public void whileTheMemberTakesNoConnectionsNobodyWaitsForLongerThanForALink() {
+  public void whileTheMemberTakesNoConnectionsRequestsWaitNoLongerThanForALink() {
     ScriptedService service = withoutRoomForConnections();
     service.write("w");
     service.pass(ScriptedService.TARGET_MILLIS / 2 + 10);
--- a/server/src/test/java/org/streamcourse/request/routing/MemberChoiceLoadTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/MemberChoiceLoadTest.java
@@ -22,10 +22,11 @@
 import org.testng.annotations.Test;
 
 /**
- * Two ways to choose a read's member, on the same seeds and loads: by the answers that each node
- * has had itself, with a short memory of BEHIND, as it used to be; and by expected finish with what
- * holders tell ({@link MemberChoice}, {@link MemberState}). A model of 40 nodes in three regions
- * before one primary and two replicas of four slots each, with one holder a member.
+ * Compares two ways to choose the member for a read, on the same seeds and loads: by the answers
+ * that each node has received itself, with a short penalty after BEHIND (the former way); and by
+ * expected finish with the observations of holders ({@link MemberChoice}, {@link MemberState}).
+ * Models 40 nodes in three regions, one primary and two replicas with four slots each, and one
+ * holder for each member.
  */
 public class MemberChoiceLoadTest {
   private static final Logger LOG = LoggerFactory.getLogger(MemberChoiceLoadTest.class);
@@ -35,8 +36,8 @@
   private static final int SLOTS = 4;
   private static final long NEAR_MILLIS = 1;
   private static final long FAR_MILLIS = 20;
-  private static final int READS_A_SECOND = 120;
-  private static final int WRITES_A_SECOND = 20;
+  private static final int READS_PER_SECOND = 120;
+  private static final int WRITES_PER_SECOND = 20;
   private static final long WORK_MILLIS = 10;
   private static final long WRITE_WORK_MILLIS = 3;
   private static final long STALENESS_MILLIS = 1_350;
@@ -45,15 +46,17 @@
   private static final long TROUBLE_ENDS_MILLIS = 10_000;
   private static final long END_MILLIS = 13_000;
 
-  /** What callers of the fastest kind of read here expect. */
+  /** Target latency of the reads. */
   private static final long TARGET_MILLIS = 300;
 
-  /** Two replicas that begin to lag at once are each found out by reads. */
-  private static final double MOST_BEHIND = 0.04;
+  /**
+   * Greatest share of BEHIND answers; reads must discover each of two replicas that begin to lag.
+   */
+  private static final double MAX_BEHIND_SHARE = 0.04;
 
   private static final double TOLERANCE = 0.005;
 
-  /** What is wrong while there is trouble. */
+  /** Lags and loads while the trouble lasts. */
   private record Pattern(
       String name, long firstLag, long secondLag, long firstWorkFactor, double readFactor) {}
 
@@ -66,7 +69,7 @@
           new Pattern("a lagging replica in a burst of reads by 2.6", 3_300, 30, 1, 2.6),
           new Pattern("both lagging in a burst of reads by 2.6", 3_300, 3_300, 1, 2.6));
 
-  /** What came of one run. */
+  /** Result of one run of the model. */
   private static final class Result {
     private int reads;
     private int behind;
@@ -99,7 +102,7 @@
       Result present = new Model(seed, pattern, true).run();
       String figures = pattern.name() + " seed " + seed + text(former) + " ->" + text(present);
       LOG.info(figures);
-      assertTrue(present.behindShare() <= MOST_BEHIND, figures);
+      assertTrue(present.behindShare() <= MAX_BEHIND_SHARE, figures);
       assertTrue(present.inTimeShare() >= former.inTimeShare() - TOLERANCE, figures);
       assertTrue(present.meanMillis() <= former.meanMillis() + 1, figures);
     }
@@ -111,7 +114,7 @@
         result.behindShare(), result.inTimeShare(), result.meanMillis());
   }
 
-  /** One run. */
+  /** Discrete-event model for one run. */
   private static final class Model {
     private record Event(long millis, long number, Runnable task) {}
 
@@ -145,8 +148,8 @@
     }
 
     Result run() {
-      arrivals(READS_A_SECOND, () -> nodes.get(random.nextInt(NODES)).read());
-      arrivals(WRITES_A_SECOND, () -> nodes.get(random.nextInt(NODES)).write());
+      arrivals(READS_PER_SECOND, () -> nodes.get(random.nextInt(NODES)).read());
+      arrivals(WRITES_PER_SECOND, () -> nodes.get(random.nextInt(NODES)).write());
       servers.forEach(each -> after(100, each::watch));
       while (!events.isEmpty()) {
         Event event = events.poll();
@@ -169,7 +172,7 @@
       if (now > START_MILLIS + END_MILLIS) {
         return;
       }
-      double factor = perSecond == READS_A_SECOND && troubled() ? pattern.readFactor() : 1;
+      double factor = perSecond == READS_PER_SECOND && troubled() ? pattern.readFactor() : 1;
       double gap = -Math.log(1 - random.nextDouble()) * 1_000 / (perSecond * factor);
       after(
           Math.round(gap),
@@ -187,8 +190,8 @@
           new MemberState(() -> now, this::waitMillis, () -> Long.MAX_VALUE);
       private int busy;
       private long shown;
-      private long toldLag;
-      private long toldMillis;
+      private long publishedLag;
+      private long publishedMillis;
 
       Server(int number) {
         this.number = number;
@@ -239,26 +242,26 @@
         }
       }
 
-      /** As {@link MemberWatch} does. */
+      /** Publishes observations as {@link MemberWatch} does. */
       void watch() {
         if (now > START_MILLIS + END_MILLIS) {
           return;
         }
         after(100, this::watch);
         boolean behind = holder.lagMillis() >= 100;
-        if (!byExpectedFinish || number == 0 || !(behind || toldLag > 0)) {
+        if (!byExpectedFinish || number == 0 || !(behind || publishedLag > 0)) {
           return;
         }
         holder.primaryHad(servers.get(0).position(), 2 * FAR_MILLIS);
         holder.heard(position());
         MemberObservation observation = holder.observation();
         boolean changed =
-            observation.lagMillis() > 4 * toldLag
-                || 4 * observation.lagMillis() < toldLag
-                || now - toldMillis >= 1_000;
+            observation.lagMillis() > 4 * publishedLag
+                || 4 * observation.lagMillis() < publishedLag
+                || now - publishedMillis >= 1_000;
         if (changed || !behind) {
-          toldLag = behind ? observation.lagMillis() : 0;
-          toldMillis = now;
+          publishedLag = behind ? observation.lagMillis() : 0;
+          publishedMillis = now;
           nodes.forEach(
               node -> after(node.way(number), () -> node.known.get(number).told(observation)));
         }
@@ -285,13 +288,13 @@
         return member == region ? NEAR_MILLIS : FAR_MILLIS;
       }
 
-      private void sample(long askedMillis, TermPosition position) {
-        positions.add(askedMillis, position);
-        known.forEach(each -> each.primaryHad(position, now - askedMillis));
+      private void sample(long sentMillis, TermPosition position) {
+        positions.add(sentMillis, position);
+        known.forEach(each -> each.primaryHad(position, now - sentMillis));
       }
 
       void write() {
-        long asked = now;
+        long sent = now;
         Server primary = servers.get(0);
         after(
             way(0),
@@ -300,8 +303,8 @@
                     WRITE_WORK_MILLIS,
                     () -> {
                       commits.add(now);
-                      TermPosition told = primary.position();
-                      after(way(0), () -> sample(asked, told));
+                      TermPosition answered = primary.position();
+                      after(way(0), () -> sample(sent, answered));
                     }));
       }
 
@@ -312,7 +315,7 @@
         new Read(this, now, troubled()).next();
       }
 
-      /** The floor, or null when the primary must be asked first. */
+      /** Returns the floor, or null when the primary must be probed first. */
       TermPosition floor() {
         return positions.floor(now, STALENESS_MILLIS);
       }
@@ -341,7 +344,7 @@
         return choice == null ? 0 : choice.chosen().id().value().charAt(2) - '0';
       }
 
-      /** The way that was: average latency, 4 times dearer for 150 ms after an answer BEHIND. */
+      /** The former way: average latency, with a factor of 4 for 150 ms after an answer BEHIND. */
       private int byOwnAnswers(Set<Integer> tried) {
         int best = 0;
         double bestCost = Double.MAX_VALUE;
@@ -357,14 +360,14 @@
       }
     }
 
-    /** One read on its way. */
+    /** One read. */
     private final class Read {
       private final Node node;
       private final long startedMillis;
       private final boolean counted;
       private final Set<Integer> tried = new HashSet<>();
       private long sentMillis;
-      private boolean askedAgain;
+      private boolean retriedAtHolder;
 
       Read(Node node, long startedMillis, boolean counted) {
         this.node = node;
@@ -373,28 +376,28 @@
       }
 
       void next() {
-        TermPosition place = node.floor();
-        if (place == null) {
-          askPrimary();
+        TermPosition position = node.floor();
+        if (position == null) {
+          probePrimary();
           return;
         }
-        long age = node.positions.knownForMillis(place, now);
-        ReadFloor floor = new ReadFloor(place, age, 40);
+        long age = node.positions.knownForMillis(position, now);
+        ReadFloor floor = new ReadFloor(position, age, 40);
         int member = tried.size() == MEMBERS ? 0 : node.choose(tried, floor);
         sentMillis = now;
         after(node.way(member), () -> arrived(member, floor, now));
       }
 
-      private void askPrimary() {
-        long asked = now;
+      private void probePrimary() {
+        long sent = now;
         after(
             node.way(0),
             () -> {
-              TermPosition told = servers.get(0).position();
+              TermPosition answered = servers.get(0).position();
               after(
                   node.way(0),
                   () -> {
-                    node.sample(asked, told);
+                    node.sample(sent, answered);
                     next();
                   });
             });
@@ -423,15 +426,15 @@
         Server server = servers.get(member);
         server.holder.heard(server.position());
         server.holder.lacks(floor);
-        if (byExpectedFinish && !askedAgain) {
-          askedAgain = true;
+        if (byExpectedFinish && !retriedAtHolder) {
+          retriedAtHolder = true;
           arrived(member, sent, arrivedMillis);
         } else {
           back(member);
         }
       }
 
-      /** Not run: a way and back were lost. */
+      /** Returns the read to its node without running it, which costs a round trip. */
       private void back(int member) {
         result.behind += counted ? 1 : 0;
         MemberObservation observation = servers.get(member).holder.observation();
--- a/server/src/test/java/org/streamcourse/request/routing/MemberChoiceTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/MemberChoiceTest.java
@@ -12,7 +12,7 @@
 import org.streamcourse.version.image.TenantId;
 import org.testng.annotations.Test;
 
-/** Which of three members serves a read. */
+/** Tests the choice among three members for a read. */
 public class MemberChoiceTest {
   private static final MemberId PRIMARY = new MemberId("i-1");
   private static final MemberId FIRST = new MemberId("i-2");
@@ -29,7 +29,7 @@
   }
 
   @Test
-  public void aNearReplicaIsTaken() {
+  public void aNearReplicaIsChosen() {
     assertEquals(
         chosen(
             member(PRIMARY, 12, 0, 0, 0), member(FIRST, 15, 0, 0, 0), member(SECOND, 55, 0, 0, 0)),
@@ -45,7 +45,7 @@
   }
 
   @Test
-  public void aReplicaThatIsFarBehindIsLeftOut() {
+  public void aReplicaThatIsFarBehindIsNotChosen() {
     assertEquals(
         chosen(
             member(PRIMARY, 12, 0, 0, 0),
@@ -54,16 +54,16 @@
         PRIMARY);
   }
 
-  /** The primary's room is for writes. */
+  /** The primary keeps its capacity for writes. */
   @Test
-  public void aPrimaryIsTakenOnlyWhereItIsMuchSooner() {
+  public void thePrimaryIsChosenOnlyIfItIsMuchFaster() {
     assertEquals(chosen(member(PRIMARY, 30, 0, 0, 0), member(FIRST, 50, 0, 0, 0)), FIRST);
     assertEquals(chosen(member(PRIMARY, 20, 0, 0, 0), member(FIRST, 50, 0, 0, 0)), PRIMARY);
   }
 
-  /** Replicas that catch up soon are waited for where the primary has a queue. */
+  /** With a queue at the primary, a read waits for a replica that catches up soon. */
   @Test
-  public void aCrowdedPrimaryLeavesReadsToTheReplicaThatCatchesUpFirst() {
+  public void withAQueueAtThePrimaryTheReplicaThatCatchesUpFirstIsChosen() {
     assertEquals(
         chosen(
             member(PRIMARY, 12, 200, 0, 0),
@@ -73,12 +73,12 @@
   }
 
   @Test
-  public void aHungMemberIsLeftOut() {
+  public void anUnresponsiveMemberIsNotChosen() {
     assertEquals(chosen(member(FIRST, 15, 0, 0, 400), member(SECOND, 60, 0, 0, 0)), SECOND);
   }
 
   @Test
-  public void theLastMemberIsNeverLeftOut() {
+  public void theOnlyMemberIsAlwaysChosen() {
     assertEquals(chosen(member(FIRST, 15, 0, 9_000, 9_000)), FIRST);
     assertNull(MemberChoice.choose(List.of(), TenantId.NONE));
   }
@@ -94,25 +94,31 @@
         .id();
   }
 
-  /** All nodes agree on a tenant's replica, and tenants are spread over both. */
+  /** A tenant prefers one replica, and tenants are spread over both replicas. */
   @Test
-  public void aTenantsReadsAreKeptTogetherAndTenantsAreSpread() {
+  public void readsOfATenantGoToOneReplicaAndTenantsAreSpread() {
     Map<MemberId, Integer> counts = new HashMap<>();
     for (int i = 0; i < 86; i++) {
       TenantId tenant = new TenantId("t" + i);
-      MemberId home = chosenFor(tenant, 15, 15);
-      counts.merge(home, 1, Integer::sum);
-      assertEquals(chosenFor(tenant, 18, 15), home, "small differences do not scatter them");
-      assertEquals(chosenFor(tenant, 15, 18), home, "small differences do not scatter them");
+      MemberId preferred = chosenFor(tenant, 15, 15);
+      counts.merge(preferred, 1, Integer::sum);
+      assertEquals(
+          chosenFor(tenant, 18, 15),
+          preferred,
+          "small differences in answer time do not change the replica");
+      assertEquals(
+          chosenFor(tenant, 15, 18),
+          preferred,
+          "small differences in answer time do not change the replica");
     }
     assertTrue(counts.get(FIRST) > 25 && counts.get(SECOND) > 25, counts.toString());
   }
 
   @Test
-  public void aTenantsReplicaGivesWayToLoad() {
+  public void aSlowPreferredReplicaIsNotChosen() {
     TenantId tenant = new TenantId("t1");
-    MemberId home = chosenFor(tenant, 15, 15);
-    boolean first = home.equals(FIRST);
-    assertNotEquals(chosenFor(tenant, first ? 60 : 15, first ? 15 : 60), home);
+    MemberId preferred = chosenFor(tenant, 15, 15);
+    boolean first = preferred.equals(FIRST);
+    assertNotEquals(chosenFor(tenant, first ? 60 : 15, first ? 15 : 60), preferred);
   }
 }
--- a/server/src/test/java/org/streamcourse/request/routing/PositionProbeTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/PositionProbeTest.java
@@ -6,12 +6,12 @@
 import org.streamcourse.connection.member.MemberCommand;
 import org.testng.annotations.Test;
 
-/** A node that has just started does not send all its reads to the primary. */
+/** Guards against a node that sends all its reads to the primary after its start. */
 public class PositionProbeTest {
   private static final int READS = 12;
 
   @Test
-  public void readsOfANodeThatHasJustStartedAreSharedAmongTheMembers() {
+  public void readsAfterTheStartOfANodeAreSpreadOverTheMembers() {
     ScriptedService service = new ScriptedService();
     for (int i = 0; i < READS; i++) {
       service.read("r" + i);
@@ -21,13 +21,13 @@
     assertEquals(
         service.count(ScriptedService.PRIMARY, MemberCommand.BeginTransaction.class),
         1,
-        "the primary is asked once for all");
+        "the primary is probed once for all reads");
     assertTrue(service.count(ScriptedService.FIRST_REPLICA, MemberCommand.Run.class) > 0);
     assertTrue(service.count(ScriptedService.SECOND_REPLICA, MemberCommand.Run.class) > 0);
   }
 
   @Test
-  public void theQuestionLeavesNoTransactionOpen() {
+  public void theProbeLeavesNoTransactionOpen() {
     ScriptedService service = new ScriptedService();
     service.read("r");
     service.pass(400);
--- a/server/src/test/java/org/streamcourse/request/routing/RelayFleet.java
+++ b/server/src/test/java/org/streamcourse/request/routing/RelayFleet.java
@@ -15,11 +15,11 @@
 import org.streamcourse.request.statement.StatementRequest;
 
 /**
- * A fleet with more nodes than its members accept connections, so that most reach them through
- * others, on the virtual clock of a {@link ScriptedService}.
+ * A fleet with more nodes than its members accept connections, so that most nodes reach members
+ * through holders, on the virtual clock of a {@link ScriptedService}.
  */
 final class RelayFleet {
-  private static final long REST_MILLIS = 3_000;
+  private static final long IDLE_TRANSACTION_MILLIS = 3_000;
   private static final long HEALTH_MILLIS = 100;
   private static final MessageCodec CODEC = StreamTypes.codec();
 
@@ -39,7 +39,7 @@
               service.worker,
               this::carry,
               table::held,
-              () -> REST_MILLIS,
+              () -> IDLE_TRANSACTION_MILLIS,
               new RequestLog(new LineBudget(0, service.worker::now), 0));
       connectObservations(table, server);
       table.update(ScriptedService.image(nodeCount));
@@ -54,7 +54,7 @@
 
     private void carry(String to, Object message) {
       byte[] bytes = CODEC.encode(message);
-      service.worker.schedule(wayMillis, () -> nodes.get(to).receive(name, bytes));
+      service.worker.schedule(oneWayMillis, () -> nodes.get(to).receive(name, bytes));
     }
 
     private void receive(String from, byte[] bytes) {
@@ -70,7 +70,7 @@
       start(id, new Statement.Read(), "READ x", StatementPlan.ANY_READ);
     }
 
-    /** A read that only the primary answers. */
+    /** Starts a read that must run at the primary. */
     void readAtPrimary(String id) {
       start(id, new Statement.Read(), "READ x", StatementPlan.PRIMARY_READ);
     }
@@ -91,12 +91,12 @@
 
   final ScriptedService service = new ScriptedService();
   private final int nodeCount;
-  private final long wayMillis;
+  private final long oneWayMillis;
   private final Map<String, Node> nodes = new TreeMap<>();
 
-  RelayFleet(int nodeCount, long wayMillis) {
+  RelayFleet(int nodeCount, long oneWayMillis) {
     this.nodeCount = nodeCount;
-    this.wayMillis = wayMillis;
+    this.oneWayMillis = oneWayMillis;
     for (int number = 1; number <= nodeCount; number++) {
       Node node = new Node(number);
       nodes.put(node.name, node);
--- a/server/src/test/java/org/streamcourse/request/routing/ScriptedService.java
+++ b/server/src/test/java/org/streamcourse/request/routing/ScriptedService.java
@@ -40,8 +40,8 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * A service of one primary and two replicas that answer at once on a virtual clock, and a proxy's
- * table of it. Notes every command that a member runs.
+ * A service of one primary and two replicas on a virtual clock, and a proxy's member table for it.
+ * Records every command that a member receives.
  */
 final class ScriptedService implements MemberDialer {
   static final String PRIMARY = "i-1";
@@ -66,19 +66,19 @@
   final List<MemberLink> opened = new ArrayList<>();
   long workMillis = FIRST_WORK_MILLIS;
 
-  /** Time after which the beginning of a transaction is answered. */
+  /** Time after which a begin command is answered. */
   long beginMillis = 1;
 
-  /** Tenant of the connection over which each statement was run. */
+  /** Tenant of the connection over which each statement ran, by statement id. */
   final Map<String, TenantId> ranFor = new TreeMap<>();
 
-  /** How long after the primary a member has a commit. */
+  /** Replication lag by member. */
   final Map<String, Long> lagMillis = new TreeMap<>();
 
   /** Members that run statements and never answer them, but accept connections and transactions. */
   final Set<String> hung = new HashSet<>();
 
-  /** Answers BEHIND of all members. */
+  /** Number of BEHIND answers of all members. */
   int behind;
 
   /** Time from the start of each statement to its answer. */
@@ -87,17 +87,17 @@
   private final Map<String, Long> shownPosition = new TreeMap<>();
   private final List<Long> commitMillis = new ArrayList<>();
 
-  /** Most connections that one member has had at once. */
+  /** Greatest number of connections that one member has had at once. */
   int mostAtOnce;
 
-  /** Whose statements are started. */
+  /** Tenant of the statements that are started. */
   TenantId tenant = new TenantId("t");
 
   private final Map<String, Integer> openConnections = new TreeMap<>();
   private final Set<Channel> introducedChannels = new LinkedHashSet<>();
   private Map<String, Integer> mostConnections = Map.of();
 
-  /** Whether members take no more connections, as after a loss of power of all nodes. */
+  /** Whether members accept no more connections, as after a power loss of all nodes. */
   private boolean full;
 
   private final Map<Integer, String> ports =
@@ -105,17 +105,17 @@
   private final RequestLog log = new RequestLog(new LineBudget(0, worker::now), 0);
 
   ScriptedService() {
-    agreeOnThePrimary();
+    registerMembers();
     pass(50);
   }
 
-  /** A node of the fleet; all are in the members' zone. */
+  /** Returns a node of the fleet; all nodes are in the zone of the members. */
   static NodeImage node(int number) {
     String host = "10.0.1." + number;
     return new NodeImage(host + ":1", 1, host, 1, new Placement("r", "z"), false);
   }
 
-  /** Members take a new connection only in place of one that has ended since, or any again. */
+  /** If true, members accept a new connection only after one has ended; if false, any number. */
   void setFull(boolean value) {
     full = value;
     mostConnections = new TreeMap<>(openConnections);
@@ -126,7 +126,7 @@
     return !full || open < mostConnections.getOrDefault(member, 0);
   }
 
-  /** A member ends its connections, and runs what it was sent all the same. */
+  /** Closes the connections of a member, which still runs the statements that it has received. */
   void breakConnections(String member) {
     List<Channel> broken =
         introducedChannels.stream().filter(each -> each.member.equals(member)).toList();
@@ -134,17 +134,17 @@
     broken.forEach(each -> each.listener.closed("the connection was reset"));
   }
 
-  /** All members are gone. */
-  void loseThePrimary() {
+  /** Removes all members from the image. */
+  void removeMembers() {
     table.update(withoutMembers());
   }
 
-  /** The members register anew; their links must be opened. */
-  void agreeOnThePrimary() {
+  /** Registers the members again; their links must be opened anew. */
+  void registerMembers() {
     table.update(image());
   }
 
-  /** With a tenant in the document, one holder owns a member's connections. */
+  /** With a tenant in the document, one holder owns most connections of a member. */
   private static final TenantRule TENANT =
       new TenantRule(new TenantId("t"), List.of(), 1, TenantRule.UNLIMITED, 0);
 
@@ -160,7 +160,7 @@
     return ClusterImage.EMPTY.apply(new ClusterChange.DocumentReplaced(document));
   }
 
-  /** An image with the members and some nodes. */
+  /** Returns an image with the members and a number of nodes. */
   static ClusterImage image(int nodes) {
     ClusterImage image = image();
     for (int number = 1; number <= nodes; number++) {
@@ -234,16 +234,16 @@
     new StatementExecution(worker, ofNode, log, context, plan, listener).start();
   }
 
-  /** Times that another member was looked for, since one refused or was known to lack a floor. */
+  /** Returns how often a member did not run a statement or failed a read. */
   long reroutes() {
     return log.reroutes();
   }
 
-  /** Place of a member's log: each write at the primary is a commit, and is seen there later. */
+  /** Log position of a member: each write at the primary is a commit, which replicas get later. */
   private TermPosition position(String member) {
     long visible = worker.now() - lagMillis.getOrDefault(member, 0L);
     long commits = commitMillis.stream().filter(each -> each <= visible).count();
-    // A member that falls behind stands still for a while.
+    // The position of a member whose lag grows stays the same for a while.
     long position = shownPosition.merge(member, PRIMARY_POSITION.position() + commits, Math::max);
     return new TermPosition(PRIMARY_POSITION.term(), position);
   }
@@ -263,9 +263,9 @@
     return completed("");
   }
 
-  /** Completed statements whose id holds a word. */
-  long completed(String word) {
-    return answers.stream().filter(each -> each.isComplete() && each.text().contains(word)).count();
+  /** Returns the number of completed statements whose id contains a text. */
+  long completed(String part) {
+    return answers.stream().filter(each -> each.isComplete() && each.text().contains(part)).count();
   }
 
   @Override
@@ -273,7 +273,7 @@
     worker.schedule(1, () -> listener.connected(new Channel(ports.get(port), listener)));
   }
 
-  /** Answers in order, a statement after its work, anything else after a millisecond. */
+  /** Answers commands in order: a statement after its work, other commands after a millisecond. */
   private final class Channel implements MemberChannel {
     private final String member;
     private final Listener listener;
@@ -322,7 +322,7 @@
         listener.answered(answer(AnswerCode.BEHIND, command));
         return;
       }
-      noteTenant(command);
+      recordTenant(command);
       if (command instanceof MemberCommand.Run && hung.contains(member)) {
         return;
       }
@@ -345,7 +345,7 @@
       return new Answer(List.of(), code, signature(command), state, position(member));
     }
 
-    private void noteTenant(MemberCommand command) {
+    private void recordTenant(MemberCommand command) {
       if (command instanceof MemberCommand.Run run) {
         ranFor.put(run.id().value(), tenant);
         mostAtOnce = Math.max(mostAtOnce, openConnections.get(member));
@@ -358,7 +358,7 @@
 
     @Override
     public void flush() {
-      // Sent at once.
+      // Commands are sent at once.
     }
 
     @Override
--- a/server/src/test/java/org/streamcourse/request/routing/SharedMemberStateTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/SharedMemberStateTest.java
@@ -9,13 +9,16 @@
 import org.streamcourse.connection.member.MemberCommand;
 import org.testng.annotations.Test;
 
-/** What one node has seen of a member keeps the reads of others from it. */
+/** Tests that nodes use the observations of other nodes when they choose a member. */
 public class SharedMemberStateTest {
   private static final int NODES = 40;
-  private static final long WAY_MILLIS = 5;
+  private static final long ONE_WAY_MILLIS = 5;
 
-  /** Reads that meet a hung member before others know: those of some 500 ms, and repeats. */
-  private static final int MOST_AT_HUNG = 45;
+  /**
+   * Most reads sent to hung members: those of about 500 ms, until all nodes are notified, and
+   * retries.
+   */
+  private static final int MAX_READS_AT_HUNG = 45;
 
   private static final int STEP_MILLIS = 10;
 
@@ -23,10 +26,10 @@
     return service.count(member, MemberCommand.Run.class);
   }
 
-  /** Each node reads about twice a second, and finds little out by itself. */
+  /** Each node reads about twice a second, too seldom to detect a hung member by itself. */
   @Test
-  public void aHungMemberIsLeftOutByNodesThatHaveNotMetIt() {
-    RelayFleet fleet = new RelayFleet(NODES, WAY_MILLIS);
+  public void nodesAvoidAHungMemberThatOthersHaveDetected() {
+    RelayFleet fleet = new RelayFleet(NODES, ONE_WAY_MILLIS);
     ScriptedService service = fleet.service;
     service.workMillis = 5;
     List<RelayFleet.Node> nodes = fleet.nodes();
@@ -37,8 +40,9 @@
     long before = hungRuns(service);
     int reads = read(fleet, nodes, random, "late", 4_000);
     service.pass(2_000);
-    long met = hungRuns(service) - before;
-    assertTrue(met <= MOST_AT_HUNG, met + " of " + reads + " reads met a hung member");
+    long atHung = hungRuns(service) - before;
+    assertTrue(
+        atHung <= MAX_READS_AT_HUNG, atHung + " of " + reads + " reads were sent to a hung member");
     long served = service.completed("late");
     assertTrue(served >= reads * 0.95, served + " of " + reads + " are served");
   }
@@ -61,9 +65,9 @@
     return reads;
   }
 
-  /** Replicas lag, the primary's connections are all in use, and its queue is long. */
+  /** Replicas lag, all connections of the primary are in use, and its queue is long. */
   @Test
-  public void writesGoBeforeReadsThatReplicasCouldServe() {
+  public void writesAreGrantedLinksBeforeReadsThatReplicasCouldServe() {
     ScriptedService service = new ScriptedService();
     for (int i = 0; i < 10; i++) {
       service.write("w" + i);
--- a/server/src/test/java/org/streamcourse/request/routing/SlotWaitTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/SlotWaitTest.java
@@ -13,12 +13,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Reads at the primary that have a link, have begun there, and wait for one of the member's slots:
- * they have not run.
+ * Reads at the primary that have a link and a transaction and wait for a slot of the member. Guards
+ * against answers that leave open whether such a read has run: it has not.
  */
 public class SlotWaitTest {
   private static final int NODES = ScriptedService.CONNECTIONS + 5;
-  private static final long WAY_MILLIS = 5;
+  private static final long ONE_WAY_MILLIS = 5;
   private static final int READS = ScriptedService.SLOTS + 3;
 
   private RelayFleet fleet;
@@ -26,7 +26,7 @@
 
   @BeforeMethod
   public void startFleet() {
-    fleet = new RelayFleet(NODES, WAY_MILLIS);
+    fleet = new RelayFleet(NODES, ONE_WAY_MILLIS);
     service = fleet.service;
   }
 
@@ -34,7 +34,7 @@
     return node(true);
   }
 
-  private RelayFleet.Node asker() {
+  private RelayFleet.Node nonHolder() {
     return node(false);
   }
 
@@ -46,10 +46,10 @@
         .orElseThrow();
   }
 
-  /** Opens the owner's links, so that all reads that follow have one at once. */
+  /** Opens the owner's links, so that each of the following reads gets one at once. */
   private void openLinks() {
     for (int i = 0; i < READS; i++) {
-      asker().begin("t" + i);
+      nonHolder().begin("t" + i);
     }
     service.pass(500);
     assertEquals(service.opened.size(), READS);
@@ -71,26 +71,29 @@
     return readsSent("");
   }
 
-  /** Reads whose id holds a word. */
-  private long readsSent(String word) {
+  /** Returns the number of sent reads whose id contains a text. */
+  private long readsSent(String part) {
     return service.commands.get(ScriptedService.PRIMARY).stream()
         .filter(MemberCommand.Run.class::isInstance)
         .map(MemberCommand.Run.class::cast)
-        .filter(run -> run.text().startsWith("READ") && run.id().value().contains(word))
+        .filter(run -> run.text().startsWith("READ") && run.id().value().contains(part))
         .count();
   }
 
-  /** Guards against FAILED for a read that was not sent when the links of its holder ended. */
+  /**
+   * Guards against the answer FAILED to a read that was not sent when the links of its holder
+   * ended.
+   */
   @Test
   public void aReadFailsOnlyAfterItWasSentAsOftenAsItsRouteAllows() {
     openLinks();
-    readWhileLinksEnd(asker());
+    readWhileLinksEnd(nonHolder());
     assertOnlyReadsThatWereSentFail();
   }
 
-  /** Guards against FAILED for a read of the holder's own that was not sent. */
+  /** Guards against the answer FAILED to a read of the holder's own callers that was not sent. */
   @Test
-  public void aReadOfTheHoldersOwnFailsOnlyAfterItWasSentAsOftenAsItsRouteAllows() {
+  public void aReadOfTheHolderItselfFailsOnlyAfterItWasSentAsOftenAsItsRouteAllows() {
     openLinks();
     readWhileLinksEnd(owner());
     assertOnlyReadsThatWereSentFail();
@@ -107,53 +110,54 @@
   }
 
   private void assertOnlyReadsThatWereSentFail() {
-    assertEquals(service.answers.size(), READS, told());
+    assertEquals(service.answers.size(), READS, answersText());
     long failed = answers(AnswerCode.FAILED);
-    assertEquals(service.completed() + failed, READS, told());
+    assertEquals(service.completed() + failed, READS, answersText());
     long sentTwice =
         IntStream.range(0, READS)
             .mapToObj(number -> "r" + number)
             .filter(id -> service.completed(id) == 0 && readsSent(id) >= 2)
             .count();
-    assertEquals(failed, sentTwice, told());
+    assertEquals(failed, sentTwice, answersText());
   }
 
-  private String told() {
+  private String answersText() {
     return service.answers.stream().map(Answer::toString).toList().toString();
   }
 
-  /** Guards against TIMEOUT, at its end, for a read of another node that was not sent. */
+  /** Guards against the answer TIMEOUT to a read of another node that was not sent. */
   @Test
   public void aReadThatGetsNoSlotAtItsHolderIsRefusedAfterItsLongestWait() {
     openLinks();
     service.workMillis = 5 * ScriptedService.TARGET_MILLIS;
-    readAtPrimary(asker());
-    service.pass(ScriptedService.TARGET_MILLIS / 2 + 4 * WAY_MILLIS);
+    readAtPrimary(nonHolder());
+    service.pass(ScriptedService.TARGET_MILLIS / 2 + 4 * ONE_WAY_MILLIS);
     assertRefused();
   }
 
-  /** Guards against an answer only at the end of its time for a read that was not sent. */
+  /** Guards against a read that was not sent and is refused only when its time-out ends. */
   @Test
   public void aReadThatGetsNoSlotIsRefusedAfterItsLongestWait() {
     openLinks();
     service.workMillis = 5 * ScriptedService.TARGET_MILLIS;
     readAtPrimary(owner());
-    service.pass(ScriptedService.TARGET_MILLIS / 2 + 4 * WAY_MILLIS);
+    service.pass(ScriptedService.TARGET_MILLIS / 2 + 4 * ONE_WAY_MILLIS);
     assertRefused();
   }
 
   private void assertRefused() {
     List<Answer> answers = service.answers;
-    assertEquals(answers(AnswerCode.BUSY), READS - ScriptedService.SLOTS, told());
-    assertEquals(answers.size(), READS - ScriptedService.SLOTS, told());
+    assertEquals(answers(AnswerCode.BUSY), READS - ScriptedService.SLOTS, answersText());
+    assertEquals(answers.size(), READS - ScriptedService.SLOTS, answersText());
     assertTrue(
-        answers.stream().allMatch(answer -> answer.text().contains("retry-after-ms")), told());
+        answers.stream().allMatch(answer -> answer.text().contains("retry-after-ms")),
+        answersText());
     service.pass(20 * ScriptedService.TARGET_MILLIS);
-    assertEquals(readsSent(), ScriptedService.SLOTS, "what was refused does not run later");
-    assertEquals(owner().table.service("s").primary().used(), 0, "links are back");
+    assertEquals(readsSent(), ScriptedService.SLOTS, "refused reads do not run later");
+    assertEquals(owner().table.service("s").primary().used(), 0, "links are returned");
   }
 
-  /** Guards against TIMEOUT for a read whose transaction did not begin in time. */
+  /** Guards against the answer TIMEOUT to a read whose transaction did not begin in time. */
   @Test
   public void aReadWhoseTransactionDidNotBeginHasNotRun() {
     openLinks();
@@ -162,31 +166,31 @@
     service.pass(ScriptedService.TARGET_MILLIS);
     assertEquals(readsSent(), 0);
     assertEquals(service.answers.size(), 1);
-    assertEquals(answers(AnswerCode.BUSY), 1, told());
+    assertEquals(answers(AnswerCode.BUSY), 1, answersText());
   }
 
-  /** Guards against a broken rule: "has not run" of a read that was sent. */
+  /** Guards against the answer that a read has not run although it was sent. */
   @Test
   public void aReadThatWasSentAndIsNotAnsweredMayHaveRun() {
     openLinks();
     service.workMillis = 5 * ScriptedService.TARGET_MILLIS;
-    asker().readAtPrimary("r");
+    nonHolder().readAtPrimary("r");
     owner().readAtPrimary("s");
     service.pass(ScriptedService.TARGET_MILLIS);
     assertEquals(readsSent(), 2);
-    assertEquals(answers(AnswerCode.TIMEOUT), 2, told());
+    assertEquals(answers(AnswerCode.TIMEOUT), 2, answersText());
   }
 
-  /** Guards against a broken rule: a write that was sent is not said not to have run. */
+  /** Guards against the answer that a write has not run although it was sent. */
   @Test
   public void aWriteThatWasSentWhenTheLinkEndedIsInDoubt() {
     openLinks();
     service.workMillis = 100;
-    asker().write("w");
+    nonHolder().write("w");
     owner().write("v");
     service.pass(50);
     service.breakConnections(ScriptedService.PRIMARY);
     service.pass(700);
-    assertEquals(answers(AnswerCode.OUTCOME_UNKNOWN), 2, told());
+    assertEquals(answers(AnswerCode.OUTCOME_UNKNOWN), 2, answersText());
   }
 }
--- a/server/src/test/java/org/streamcourse/request/routing/StatementRelayTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/StatementRelayTest.java
@@ -32,13 +32,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Statements of a node without connections of its own, brought to members through other nodes. The
- * fleet has more nodes than the members accept connections.
+ * Statements of a node without member connections, relayed to members by holders. The fleet has
+ * more nodes than the members accept connections.
  */
 public class StatementRelayTest {
   private static final int NODES = ScriptedService.CONNECTIONS + 5;
-  private static final long WAY_MILLIS = 5;
-  private static final long REST_MILLIS = 3_000;
+  private static final long ONE_WAY_MILLIS = 5;
+  private static final long IDLE_TRANSACTION_MILLIS = 3_000;
   private static final MessageCodec CODEC = StreamTypes.codec();
 
   /** One node of the fleet. */
@@ -62,7 +62,7 @@
               service.worker,
               (peer, message) -> carry(name, peer, message),
               table::held,
-              () -> REST_MILLIS,
+              () -> IDLE_TRANSACTION_MILLIS,
               log);
       table.update(ScriptedService.image(NODES));
       service.worker.repeat(
@@ -81,14 +81,14 @@
 
   private ScriptedService service;
   private final Map<String, Node> nodes = new TreeMap<>();
-  private final Set<String> silent = new HashSet<>();
+  private final Set<String> unresponsive = new HashSet<>();
   private final Set<String> down = new HashSet<>();
   private Node origin;
 
   @BeforeMethod
   public void startFleet() {
     nodes.clear();
-    silent.clear();
+    unresponsive.clear();
     down.clear();
     service = new ScriptedService();
     for (int number = 1; number <= NODES; number++) {
@@ -106,18 +106,18 @@
         && !node.holds(ScriptedService.SECOND_REPLICA);
   }
 
-  /** Brings a message over, as bytes, unless an end of the way is silent or down. */
+  /** Delivers a message, encoded, unless the sender or the receiver is unresponsive or down. */
   private void carry(String from, String to, Object message) {
     if (down.contains(to)) {
       service.worker.schedule(
-          WAY_MILLIS, () -> nodes.get(from).client.undelivered(to, List.of(message)));
+          ONE_WAY_MILLIS, () -> nodes.get(from).client.undelivered(to, List.of(message)));
       return;
     }
     byte[] bytes = CODEC.encode(message);
     service.worker.schedule(
-        WAY_MILLIS,
+        ONE_WAY_MILLIS,
         () -> {
-          if (silent.contains(to) || silent.contains(from)) {
+          if (unresponsive.contains(to) || unresponsive.contains(from)) {
             return;
           }
           RelayMessage arrived = (RelayMessage) CODEC.decode(bytes);
@@ -137,7 +137,7 @@
     return found;
   }
 
-  /** The holder that all nodes ask first. */
+  /** Returns the holder to which all nodes send statements first. */
   private String firstHolder(String member) {
     return share(member, origin.name).holders().get(0);
   }
@@ -171,13 +171,13 @@
   }
 
   /**
-   * As in an incident: of 72 proxies 53 lost power, and two members of five had no holder left on a
-   * partition's larger side. Their statements waited until their time was over, for 5 s, although
-   * living proxies reached the members; the answers of such statements told it.
+   * Guards against the failure of an incident: 53 of 72 proxies lost power, and two of five members
+   * had no holder left on the larger side of a partition. Statements for these members waited for
+   * their whole time-out of 5 s, although the remaining proxies reached the members.
    */
   @Test
-  public void anotherNodeStandsInWhileAllHoldersAreSilent() {
-    silent.addAll(holders(ScriptedService.PRIMARY));
+  public void anotherNodeIsFallbackHolderWhileAllHoldersAreUnresponsive() {
+    unresponsive.addAll(holders(ScriptedService.PRIMARY));
     for (int i = 0; i < 15; i++) {
       write("early" + i);
       service.pass(100);
@@ -186,21 +186,22 @@
       write("late" + i);
       service.pass(100);
     }
-    assertEquals(service.completed("late"), 10, "served by a node that stands in");
+    assertEquals(service.completed("late"), 10, "served by a fallback holder");
     long connections = service.count(ScriptedService.PRIMARY, MemberCommand.Introduce.class);
     assertTrue(connections < ScriptedService.CONNECTIONS, connections + " connections");
   }
 
   @Test
-  public void aNodeThatStoodInEndsItsConnectionsOnceTheHoldersAreBack() {
+  public void aFallbackHolderClosesItsConnectionsOnceTheHoldersRespondAgain() {
     Set<String> holders = holders(ScriptedService.PRIMARY);
-    silent.addAll(holders);
+    unresponsive.addAll(holders);
     for (int i = 0; i < 15; i++) {
       write("w" + i);
       service.pass(100);
     }
-    assertTrue(holders(ScriptedService.PRIMARY).size() > holders.size(), "a node stands in");
-    silent.clear();
+    assertTrue(
+        holders(ScriptedService.PRIMARY).size() > holders.size(), "a node is fallback holder");
+    unresponsive.clear();
     for (int i = 0; i < 30; i++) {
       write("v" + i);
       service.pass(100);
@@ -209,15 +210,15 @@
     assertTrue(service.completed() >= 30, service.completed() + " served");
   }
 
-  /** Holders that have just started, or have an older image, know better a moment later. */
+  /** Holders that have just started, or have an older image, soon hold connections again. */
   @Test
-  public void holdersThatDoNotKnowTheMemberYetAreAskedAgainSoon() {
+  public void holdersThatDoNotKnowTheMemberYetAreRetriedSoon() {
     Set<String> holders = holders(ScriptedService.PRIMARY);
     holders.forEach(
         name -> nodes.get(name).table.update(ScriptedService.image(NODES).apply(withoutMembers())));
     write("w");
     service.pass(60);
-    assertTrue(toldByHolders() > 0, "holders tell that they hold nothing");
+    assertTrue(refusalsByHolders() > 0, "holders refuse because they have no links");
     holders.forEach(name -> nodes.get(name).table.update(ScriptedService.image(NODES)));
     service.pass(150);
     assertEquals(service.completed(), 1);
@@ -231,13 +232,15 @@
     assertEquals(writesRun(), 1);
   }
 
-  /** A standby has links, but statements of its own callers take the owner's slots too. */
+  /**
+   * A standby has links, but statements of its own callers must use slots assigned by the owner.
+   */
   @Test
-  public void aStandbyBringsItsOwnStatementsToTheOwner() {
+  public void aStandbySendsItsOwnStatementsToTheOwner() {
     String owner = firstHolder(ScriptedService.PRIMARY);
     origin = nodes.get(share(ScriptedService.PRIMARY, origin.name).holders().get(1));
     write("w");
-    service.pass(4 * WAY_MILLIS);
+    service.pass(4 * ONE_WAY_MILLIS);
     assertEquals(nodes.get(owner).server.streams(), 1);
     service.pass(200);
     assertEquals(service.completed(), 1);
@@ -253,9 +256,9 @@
     assertEquals(writesRun(), 1);
   }
 
-  /** Each transaction holds a link; a standby's own part is one here. */
+  /** Each transaction holds a link; the share of a standby is one link here. */
   @Test
-  public void aStandbyHasTheOwnersPartWhileTheOwnerIsDown() {
+  public void aStandbyMayOpenTheOwnersLinksWhileTheOwnerIsDown() {
     String owner = firstHolder(ScriptedService.PRIMARY);
     down.add(owner);
     for (int i = 0; i < 6; i++) {
@@ -271,15 +274,15 @@
     assertEquals(nodes.get(standby).table.service("s").primary().links(), 1);
   }
 
-  /** Else the standbys would send a crowded member more than its slots take. */
+  /** Guards against standbys that send an overloaded member more statements than it has slots. */
   @Test
-  public void whatTheOwnerHasNoRoomForIsNotBroughtToAStandby() {
+  public void statementsThatTheOwnerRefusesAsBusyAreNotSentToAStandby() {
     service.workMillis = 5 * ScriptedService.TARGET_MILLIS;
     String owner = firstHolder(ScriptedService.PRIMARY);
     for (int i = 0; i < 40; i++) {
       write("w" + i);
     }
-    service.pass(ScriptedService.TARGET_MILLIS / 2 + 8 * WAY_MILLIS);
+    service.pass(ScriptedService.TARGET_MILLIS / 2 + 8 * ONE_WAY_MILLIS);
     for (Node node : nodes.values()) {
       int streams = node.name.equals(owner) ? ScriptedService.SLOTS : 0;
       assertEquals(node.server.streams(), streams, node.name);
@@ -288,7 +291,7 @@
   }
 
   @Test
-  public void aHolderThatIsDownIsLeftForAnother() {
+  public void aStatementIsSentToAnotherHolderWhenOneIsDown() {
     down.add(firstHolder(ScriptedService.PRIMARY));
     write("w");
     service.pass(200);
@@ -297,7 +300,7 @@
   }
 
   @Test
-  public void aHolderThatStopsIsLeftForAnother() {
+  public void aStatementIsSentToAnotherHolderWhenOneStops() {
     nodes.get(firstHolder(ScriptedService.PRIMARY)).server.stopTaking();
     write("w");
     service.pass(200);
@@ -306,10 +309,10 @@
   }
 
   @Test
-  public void aWriteThatWentToASilentHolderIsUnknownAndNotSentAgain() {
+  public void aWriteSentToAnUnresponsiveHolderIsInDoubtAndNotSentAgain() {
     write("u");
     service.pass(100);
-    silent.add(firstHolder(ScriptedService.PRIMARY));
+    unresponsive.add(firstHolder(ScriptedService.PRIMARY));
     write("w");
     service.pass(700);
     assertEquals(service.answers.size(), 2);
@@ -317,19 +320,19 @@
     assertEquals(writesRun(), 1);
     write("v");
     service.pass(200);
-    assertEquals(service.completed(), 2, "others are asked meanwhile");
+    assertEquals(service.completed(), 2, "other holders are used meanwhile");
   }
 
-  /** Lets a write be under way at the member through its first holder. */
+  /** Starts a write that is in flight at the member; returns the holder that relays it. */
   private String holderOfRunningWrite() {
     service.workMillis = 50;
     write("w");
-    service.pass(8 * WAY_MILLIS);
+    service.pass(8 * ONE_WAY_MILLIS);
     assertEquals(writesRun(), 1);
     return firstHolder(ScriptedService.PRIMARY);
   }
 
-  /** Guards against a second run (TWICE) when the end of a link is heard after what it dropped. */
+  /** Guards against a second run when a link's end is reported after the messages it dropped. */
   @Test
   public void aWriteOnABrokenLinkIsNotSentAgainWhenALaterMessageIsDroppedFirst() {
     String holder = holderOfRunningWrite();
@@ -342,9 +345,9 @@
     assertEquals(service.answers.get(0).code(), AnswerCode.OUTCOME_UNKNOWN);
   }
 
-  /** Guards against a second run (TWICE) when an old word is heard after a new link has opened. */
+  /** Guards against a second run when a dropped message is reported after a new link opened. */
   @Test
-  public void aWriteOnANewLinkIsNotSentAgainWhenItIsHeardThatAnEarlierMessageWasDropped() {
+  public void aWriteOnANewLinkIsNotSentAgainWhenAnEarlierMessageIsReportedAsDropped() {
     String holder = holderOfRunningWrite();
     origin.client.undelivered(holder, List.of(new RelayMessage.Close(1)));
     service.pass(1_000);
@@ -353,8 +356,8 @@
   }
 
   @Test
-  public void nothingIsBroughtToAHolderThatHasNotSpoken() {
-    silent.add(firstHolder(ScriptedService.PRIMARY));
+  public void noStatementRunsAtAHolderThatHasNotResponded() {
+    unresponsive.add(firstHolder(ScriptedService.PRIMARY));
     write("w");
     service.pass(700);
     assertEquals(service.completed(), 1, "another holder ran it");
@@ -362,49 +365,51 @@
   }
 
   @Test
-  public void whatNoHolderHasTakenIsRefusedAndNotInDoubt() {
-    silent.addAll(nodes.keySet());
+  public void aStatementThatNoHolderHasAcceptedIsRefusedAndNotInDoubt() {
+    unresponsive.addAll(nodes.keySet());
     write("w");
     service.pass(ScriptedService.TARGET_MILLIS);
     assertEquals(service.answers.size(), 1);
     assertEquals(service.answers.get(0).code(), AnswerCode.BUSY);
-    silent.clear();
+    unresponsive.clear();
     service.pass(ScriptedService.TARGET_MILLIS);
     assertEquals(writesRun(), 0, "it has not run, and does not run later");
   }
 
   @Test
-  public void aSilentHolderIsAskedAgainOnceItSpeaks() {
+  public void aSuspectedHolderIsUsedAgainOnceItResponds() {
     String holder = firstHolder(ScriptedService.PRIMARY);
-    silent.add(holder);
+    unresponsive.add(holder);
     write("w");
     service.pass(1_000);
-    silent.clear();
+    unresponsive.clear();
     service.pass(1_000);
     write("v");
-    service.pass(WAY_MILLIS + 2);
+    service.pass(ONE_WAY_MILLIS + 2);
     assertEquals(nodes.get(holder).server.streams(), 1);
   }
 
   @Test
-  public void whatWaitsForTooLongIsRefusedBeforeItsTimeIsOverAndHasNotRun() {
+  public void aStatementThatWaitsTooLongIsRefusedBeforeItsTimeOutAndHasNotRun() {
     service.workMillis = 5 * ScriptedService.TARGET_MILLIS;
     int links = 4 * 2;
     for (int i = 0; i < 2 * links; i++) {
       write("w" + i);
     }
-    service.pass(ScriptedService.TARGET_MILLIS / 2 + 8 * WAY_MILLIS);
+    service.pass(ScriptedService.TARGET_MILLIS / 2 + 8 * ONE_WAY_MILLIS);
     long refused =
         service.answers.stream().filter(answer -> answer.code() == AnswerCode.BUSY).count();
-    assertEquals(refused, service.answers.size(), "nobody is left in doubt so early");
+    assertEquals(refused, service.answers.size(), "no statement is in doubt so early");
     assertTrue(refused >= links, refused + " are refused");
-    assertEquals(writesRun() + refused, 2 * links, "what was refused has not run");
-    assertTrue(toldByHolders() >= refused, toldByHolders() + " refusals are told by holders");
+    assertEquals(writesRun() + refused, 2 * links, "refused statements have not run");
+    assertTrue(refusalsByHolders() >= refused, refusalsByHolders() + " refusals come from holders");
   }
 
-  /** Guards against a write in doubt that its holder refused when its time was just over. */
+  /**
+   * Guards against a write in doubt whose refusal by the holder arrives just after its time-out.
+   */
   @Test
-  public void aHoldersRefusalComesBeforeTheTimeOfALateStatementIsOver() {
+  public void aHoldersRefusalArrivesBeforeTheTimeOutOfALateStatement() {
     service.workMillis = 5 * ScriptedService.TARGET_MILLIS;
     origin.table.update(ScriptedService.image(NODES).apply(withoutMembers()));
     write("late");
@@ -422,19 +427,19 @@
     assertEquals(refused, 1, service.answers.toString());
   }
 
-  private long toldByHolders() {
+  private long refusalsByHolders() {
     return nodes.values().stream().mapToLong(node -> node.log.refusedForOthers()).sum();
   }
 
   @Test
-  public void aTransactionOfASenderThatIsGoneIsRolledBack() {
+  public void aTransactionOfAnUnresponsiveSenderIsRolledBack() {
     StatementRequest request =
         new StatementRequest(new StatementId("t"), "WRITE x y", new Statement.Write());
     service.start(origin.table, request, StatementPlan.PRIMARY_TRANSACTION);
     service.pass(100);
     assertEquals(service.count(ScriptedService.PRIMARY, MemberCommand.RollBack.class), 0);
-    silent.add(origin.name);
-    service.pass(2 * REST_MILLIS);
+    unresponsive.add(origin.name);
+    service.pass(2 * IDLE_TRANSACTION_MILLIS);
     assertEquals(service.count(ScriptedService.PRIMARY, MemberCommand.RollBack.class), 1);
     int open = nodes.values().stream().mapToInt(node -> node.server.streams()).sum();
     assertEquals(open, 0);
@@ -452,7 +457,7 @@
   }
 
   @Test
-  public void aNodeThatGetsNoConnectionAsksAnother() {
+  public void aNodeThatGetsNoConnectionUsesAnotherHolder() {
     Node holder = nodes.get(firstHolder(ScriptedService.PRIMARY));
     String member = ScriptedService.PRIMARY;
     holder.table.update(ScriptedService.image(NODES).apply(withoutMembers()));
@@ -468,7 +473,7 @@
   }
 
   @Test
-  public void anAnswerToAFormerRunOfANodeIsNotTakenForAnAnswerToThisRun() {
+  public void anAnswerToAnEarlierIncarnationIsNotTakenForAnAnswerToThisOne() {
     service.workMillis = 100;
     write("former");
     service.pass(50);
