--- a/server/src/main/java/org/streamcourse/process/StatementMetrics.java
+++ b/server/src/main/java/org/streamcourse/process/StatementMetrics.java
@@ -91,7 +91,7 @@
     endpoint.gauge(
         "streamcourse_quota_counted_for_others",
         "Other nodes' operations that were admitted here.",
-        node.quotas()::countedForOthers);
+        node.quotas()::admittedForOthers);
     endpoint.gauge(
         "streamcourse_quota_homes_silent",
         "Times a node that counts operations was found silent.",
--- a/server/src/main/java/org/streamcourse/request/quota/LocalQuota.java
+++ b/server/src/main/java/org/streamcourse/request/quota/LocalQuota.java
@@ -5,25 +5,26 @@
 import java.util.Iterator;
 
 /**
- * What this node may run of one tenant's operations: a share of the tenant's limit, counted in any
- * window of time and used at a {@link QuotaPacing}.
+ * Admits one tenant's operations at this node within the node's share of the tenant's limit. The
+ * share bounds the operations in each window of time, and {@link QuotaPacing} bounds how fast it is
+ * used.
  *
- * <p>Invariants: no span of time holds more operations of this run than the pacing allows for its
- * share at the span's end, and no window more than the share; the share rises only by the
- * controllers' word, and what is given up by {@link #held} stays given up.
+ * <p>Invariants: in each span of time, this incarnation of the node admits no more operations than
+ * the pacing allows for its share at the span's end, and in each window no more than the share.
+ * Only the controllers raise the share, and a part released by {@link #held} stays released.
  *
  * <p>All methods run on the proxy's worker.
  */
 public final class LocalQuota {
   private static final int NO_CEILING = Integer.MAX_VALUE;
 
-  /** Time between looks at when a run that has just started may use more of what it inherited. */
-  private static final long START_STEP_MILLIS = 20;
+  /** Step of the search for the time at which more of an inherited share may be used. */
+  private static final long SEARCH_STEP_MILLIS = 20;
 
   private final QuotaPacing pacing;
   private final long windowMillis;
   private final long startedMillis;
-  private final Deque<Long> ran = new ArrayDeque<>();
+  private final Deque<Long> admittedMillis = new ArrayDeque<>();
   private long number;
   private int operations;
   private int inherited;
@@ -37,7 +38,7 @@
    * Creates a quota without a share.
    *
    * @param pacing how fast a share may be used
-   * @param startedMillis time at which this run of the node began
+   * @param startedMillis time at which this incarnation of the node started
    */
   public LocalQuota(QuotaPacing pacing, long startedMillis) {
     this.pacing = pacing;
@@ -47,32 +48,33 @@
   }
 
   /**
-   * Takes in the controllers' word.
+   * Applies a share assigned by the controllers. An older number changes nothing.
    *
-   * @param granted number that rises with each change of the share
+   * @param newNumber number that rises with each change of the share
    * @param share operations in a window
-   * @param ofFormerRun part of the share that a former run of the node had
-   * @param most to what the share shall be lowered as soon as the window allows it
-   * @param noMore whether the tenant's limit is used up, so that asking brings no more
-   * @param now present time
+   * @param inheritedPart part of the share that a former incarnation of the node had
+   * @param newCeiling value to which the share must be lowered as soon as the window allows it
+   * @param limitUsedUp whether the tenant's limit is used up, so that a request for more is useless
+   * @param now current time
    */
-  public void told(long granted, int share, int ofFormerRun, int most, boolean noMore, long now) {
-    if (granted > number) {
-      number = granted;
+  public void update(
+      long newNumber, int share, int inheritedPart, int newCeiling, boolean limitUsedUp, long now) {
+    if (newNumber > number) {
+      number = newNumber;
       operations = share;
-      inherited = ofFormerRun;
+      inherited = inheritedPart;
       dropped = false;
-      recountTokens(now);
+      recomputeTokens(now);
     }
-    if (granted >= number) {
-      ceiling = most;
-      exhausted = noMore;
+    if (newNumber >= number) {
+      ceiling = newCeiling;
+      exhausted = limitUsedUp;
     }
   }
 
   /**
-   * Gives the share up for good, since the controllers may give it to others. What ran in the last
-   * window still counts as held.
+   * Drops the share until the controllers assign a new one, because they may have assigned it to
+   * other nodes. Operations of the last window still count as held.
    */
   public void drop() {
     dropped = operations > 0;
@@ -88,37 +90,37 @@
   }
 
   /**
-   * Tells whether the tenant's limit was used up at the controllers' last word.
+   * Returns whether the tenant's limit was used up at the last update by the controllers.
    *
-   * @return true when asking brings no more
+   * @return true when a request for a larger share is useless
    */
   public boolean isExhausted() {
     return exhausted;
   }
 
   /**
-   * Counts the operations in the window that ends now.
+   * Counts the operations admitted in the window that ends now.
    *
-   * @param now present time
+   * @param now current time
    * @return count
    */
   public int used(long now) {
-    while (!ran.isEmpty() && now - ran.peekFirst() >= windowMillis) {
-      ran.pollFirst();
+    while (!admittedMillis.isEmpty() && now - admittedMillis.peekFirst() >= windowMillis) {
+      admittedMillis.pollFirst();
     }
-    return ran.size();
+    return admittedMillis.size();
   }
 
   /**
-   * Returns the least share that allows what ran in the window that ends now.
+   * Returns the least share that allows the operations of the window that ends now.
    *
-   * @param now present time
+   * @param now current time
    * @return operations in a window, not below {@link #used}
    */
   public int needed(long now) {
     int needed = used(now);
     int counted = 0;
-    Iterator<Long> newestFirst = ran.descendingIterator();
+    Iterator<Long> newestFirst = admittedMillis.descendingIterator();
     while (newestFirst.hasNext()) {
       counted++;
       needed = Math.max(needed, pacing.needed(counted, now - newestFirst.next()));
@@ -127,56 +129,56 @@
   }
 
   /**
-   * Returns the share, after giving up what is above the ceiling and not used any more. A run that
-   * has inherited something gives up nothing within its first window.
+   * Releases the unused part of the share above the ceiling and returns the remaining share. An
+   * incarnation that has inherited a share releases nothing within its first window.
    *
-   * @param now present time
+   * @param now current time
    * @return operations in a window
    */
   public int held(long now) {
-    int most = dropped ? 0 : ceiling;
-    if (most < operations && !startsWithLess(now)) {
-      int lowered = Math.min(operations, Math.max(most, needed(now)));
+    int target = dropped ? 0 : ceiling;
+    if (target < operations && !isRampingUp(now)) {
+      int lowered = Math.min(operations, Math.max(target, needed(now)));
       if (lowered < operations) {
         operations = lowered;
-        recountTokens(now);
+        recomputeTokens(now);
       }
     }
     return operations;
   }
 
   /**
-   * Counts an operation if the share allows it.
+   * Admits and counts an operation if the share allows it.
    *
-   * @param now present time
-   * @return whether it may run
+   * @param now current time
+   * @return whether the operation is admitted
    */
   public boolean take(long now) {
-    if (!hasRoomFor(1, now)) {
+    if (!allows(1, now)) {
       return false;
     }
     tokens--;
-    ran.addLast(now);
+    admittedMillis.addLast(now);
     return true;
   }
 
   /**
-   * Tells whether the share allows a number of operations at once.
+   * Returns whether the share allows a number of operations at once.
    *
-   * @param wanted number of operations
-   * @param now present time
-   * @return true if {@link #take} would succeed so often
+   * @param count number of operations
+   * @param now current time
+   * @return true if {@link #take} would succeed that many times
    */
-  public boolean hasRoomFor(int wanted, long now) {
-    int after = used(now) + wanted;
+  public boolean allows(int count, long now) {
+    int after = used(now) + count;
     refill(now);
-    boolean ofStart =
-        !startsWithLess(now)
-            || after <= pacing.sinceStart(operations, inherited, now - startedMillis);
-    return !dropped && after <= held(now) && tokens >= wanted && ofStart;
+    boolean rampUpAllows =
+        !isRampingUp(now)
+            || after <= pacing.allowedSinceStart(operations, inherited, now - startedMillis);
+    return !dropped && after <= held(now) && tokens >= count && rampUpAllows;
   }
 
-  private boolean startsWithLess(long now) {
+  private boolean isRampingUp(long now) {
     return inherited > 0 && now - startedMillis < windowMillis;
   }
 
@@ -186,13 +188,16 @@
     tokensAtMillis = now;
   }
 
-  /** What the bucket would hold if it had had its present size through the last window. */
-  private void recountTokens(long now) {
+  /**
+   * Sets the tokens to what the bucket would hold if it had had its current size throughout the
+   * last window.
+   */
+  private void recomputeTokens(long now) {
     used(now);
     double burst = pacing.burst(operations);
     double left = burst;
     int counted = 0;
-    Iterator<Long> newestFirst = ran.descendingIterator();
+    Iterator<Long> newestFirst = admittedMillis.descendingIterator();
     while (newestFirst.hasNext()) {
       counted++;
       long span = now - newestFirst.next();
@@ -203,54 +208,56 @@
   }
 
   /**
-   * Uncounts an operation that certainly was not run.
+   * Removes an admitted operation that has certainly not run from the count.
    *
-   * @param takenMillis time at which it was counted
-   * @param now present time
+   * @param takenMillis time at which the operation was admitted
+   * @param now current time
    */
   public void giveBack(long takenMillis, long now) {
-    if (ran.removeLastOccurrence(takenMillis)) {
-      recountTokens(now);
+    if (admittedMillis.removeLastOccurrence(takenMillis)) {
+      recomputeTokens(now);
     }
   }
 
   /**
-   * Returns when there is room again, by this node's present share alone.
+   * Returns the time until the node's current share allows a number of operations.
    *
-   * @param wanted number of operations
-   * @param now present time
-   * @return milliseconds, or the whole window when the share never has so much room
+   * @param count number of operations
+   * @param now current time
+   * @return milliseconds, or the whole window when the share never allows so many
    */
-  public long roomInMillis(int wanted, long now) {
-    if (hasRoomFor(wanted, now)) {
+  public long millisUntilAllowed(int count, long now) {
+    if (allows(count, now)) {
       return 0;
     }
-    if (wanted > operations) {
+    if (count > operations) {
       return windowMillis;
     }
-    double lacking = Math.max(0, wanted - tokens);
+    double lacking = Math.max(0, count - tokens);
     long millis = (long) Math.ceil(lacking / pacing.perMilli(operations));
-    return Math.min(windowMillis, Math.max(millis, Math.max(ofWindow(wanted, now), ofStart(now))));
+    return Math.min(
+        windowMillis,
+        Math.max(millis, Math.max(untilWindowAllows(count, now), untilRampUpAllows(now))));
   }
 
-  /** Time until the window has room for so many. */
-  private long ofWindow(int wanted, long now) {
-    int toLeave = used(now) + wanted - operations;
-    Iterator<Long> oldestFirst = ran.iterator();
+  /** Returns the time until enough operations have left the window. */
+  private long untilWindowAllows(int count, long now) {
+    int mustLeave = used(now) + count - operations;
+    Iterator<Long> oldestFirst = admittedMillis.iterator();
     long leaves = 0;
-    for (int i = 0; i < toLeave && oldestFirst.hasNext(); i++) {
+    for (int i = 0; i < mustLeave && oldestFirst.hasNext(); i++) {
       leaves = oldestFirst.next() + windowMillis - now;
     }
     return leaves;
   }
 
-  /** Time until a run that has just started may use one more. */
-  private long ofStart(long now) {
+  /** Returns the time until one more operation is allowed after the start of the incarnation. */
+  private long untilRampUpAllows(long now) {
     long millis = 0;
     int after = used(now) + 1;
-    while (startsWithLess(now + millis)
-        && pacing.sinceStart(operations, inherited, now + millis - startedMillis) < after) {
-      millis += START_STEP_MILLIS;
+    while (isRampingUp(now + millis)
+        && pacing.allowedSinceStart(operations, inherited, now + millis - startedMillis) < after) {
+      millis += SEARCH_STEP_MILLIS;
     }
     return millis;
   }
--- a/server/src/main/java/org/streamcourse/request/quota/OperationLimits.java
+++ b/server/src/main/java/org/streamcourse/request/quota/OperationLimits.java
@@ -6,16 +6,16 @@
 /** Decides whether operations may run within the limits of their tenants. */
 public interface OperationLimits {
   /**
-   * Asks for an operation.
+   * Requests that an operation may run.
    *
-   * @param rule rule of its tenant
-   * @param request hears the outcome, at once or later
-   * @return takes the request back while it waits
+   * @param rule rule of the operation's tenant
+   * @param request receives the decision, at once or later
+   * @return cancels the request while it waits
    */
   Disposable admit(TenantRule rule, QuotaRequest request);
 
   /**
-   * Returns what was decided so far.
+   * Returns the counters of decisions.
    *
    * @return counters
    */
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaClient.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaClient.java
@@ -13,36 +13,40 @@
 import reactor.core.Disposable;
 
 /**
- * Has a tenant's operations counted at few nodes, its quota servers, so that a limit is divided
- * into few shares. An operation goes to the quota server of its node's region; where that one is
- * silent, or has no room and can't get any, the next quota server is asked with what that one may
- * do. This node counts itself for the tenants whose quota server it is.
+ * Has operations of tenants with a limit counted at quota servers. A tenant has few of them, so
+ * that its limit is divided into few shares. A request goes to the quota server of the node's
+ * region first. When that server does not respond, or has no free share and can't get any, the
+ * request goes to the next one, which has a share of its own. This node counts locally for the
+ * tenants whose quota server it is.
  *
- * <p>Whether the controllers have confirmed this node does not matter for what others count.
+ * <p>Other nodes may count operations of this node even while the controllers have not confirmed
+ * it.
  *
  * <p>All methods run on the proxy's worker.
  */
 public final class QuotaClient implements OperationLimits {
   /**
-   * Longest time for which operations of a tenant that has used up its limit are refused without
-   * asking; its share may change meanwhile.
+   * Longest time for which operations of a tenant that has used up its limit are refused without a
+   * request to a quota server, whose share may change meanwhile.
    */
-  private static final long MOST_CLOSED_MILLIS = 250;
+  private static final long MAX_LOCAL_REFUSAL_MILLIS = 250;
 
-  /** Bits of an operation's first number: few, since each message carries one. */
+  /**
+   * Number of bits of an incarnation's first operation number; few, so that messages stay small.
+   */
   private static final int NUMBER_BITS = 20;
 
   /**
-   * A tenant that has used up its limit. The quota server is asked again after half of the time at
-   * which it has room again, so that some operations wait there by then, and no room is left
+   * A tenant that has used up its limit. Requests are sent to the quota server again after half of
+   * the time until it has capacity, so that operations wait there by then and no capacity is left
    * unused.
    */
-  private record Closed(QuotaRefusal refusal, long sinceMillis) {
+  private record UsedUpLimit(QuotaRefusal refusal, long sinceMillis) {
     private long untilMillis() {
-      return sinceMillis + Math.min(MOST_CLOSED_MILLIS, refusal.retryAfterMillis() / 2);
+      return sinceMillis + Math.min(MAX_LOCAL_REFUSAL_MILLIS, refusal.retryAfterMillis() / 2);
     }
 
-    private long roomInMillis(long now) {
+    private long retryAfterMillis(long now) {
       return Math.max(1, sinceMillis + refusal.retryAfterMillis() - now);
     }
   }
@@ -58,19 +62,19 @@
   private final QuotaCounts counts = new QuotaCounts();
   private final Map<Integer, QuotaOperation> open = new HashMap<>();
   private final Map<Integer, String> quotaServerOf = new HashMap<>();
-  private final Map<TenantId, Closed> closed = new HashMap<>();
+  private final Map<TenantId, UsedUpLimit> usedUpLimits = new HashMap<>();
   private int lastNumber;
 
   /**
-   * Creates limits that ask nobody yet.
+   * Creates a client without outstanding requests.
    *
    * @param worker the proxy's worker
-   * @param network way to the other nodes
-   * @param own shares of this node
+   * @param network sends messages to other nodes
+   * @param own local quotas of this node
    * @param self name of this node
    * @param order which nodes are quota servers
    * @param image the image in force
-   * @param run number of this run of the node; far from those of other runs
+   * @param incarnation number of this incarnation of the node; far from those of other incarnations
    */
   public QuotaClient(
       Worker worker,
@@ -79,7 +83,7 @@
       String self,
       QuotaServerOrder order,
       Supplier<ClusterImage> image,
-      long run) {
+      long incarnation) {
     this.worker = worker;
     this.self = self;
     this.own = own;
@@ -88,7 +92,7 @@
     this.outbox = new QuotaOutbox(worker, network);
     this.health = new QuotaServerHealth(worker, outbox);
     this.server = new QuotaServer(worker, outbox, own, image);
-    this.lastNumber = (int) (run & ((1 << NUMBER_BITS) - 1));
+    this.lastNumber = (int) (incarnation & ((1 << NUMBER_BITS) - 1));
   }
 
   @Override
@@ -97,16 +101,16 @@
   }
 
   /**
-   * Returns how many operations of other nodes were admitted here.
+   * Counts the operations of other nodes that this node admitted as quota server.
    *
    * @return count since the start; safe from any thread
    */
-  public long countedForOthers() {
-    return server.counted();
+  public long admittedForOthers() {
+    return server.admitted();
   }
 
   /**
-   * Returns how often a quota server was found silent.
+   * Counts the times that a quota server became suspected.
    *
    * @return count since the start; safe from any thread
    */
@@ -129,19 +133,22 @@
     return operation::cancel;
   }
 
-  /** A tenant that floods costs nobody a message while its limit is known to be used up. */
+  /**
+   * Refuses an operation without a message while the tenant's limit is known to be used up, so that
+   * a tenant that floods causes no load at quota servers.
+   */
   private boolean refusesAtOnce(TenantId tenant, QuotaRequest request) {
-    Closed known = closed.get(tenant);
+    UsedUpLimit known = usedUpLimits.get(tenant);
     long now = worker.now();
     if (known == null) {
       return false;
     }
     if (now >= known.untilMillis()) {
-      closed.remove(tenant);
+      usedUpLimits.remove(tenant);
       return false;
     }
     counts.refused();
-    request.refused(known.refusal().withRetryAfter(known.roomInMillis(now)));
+    request.refused(known.refusal().withRetryAfter(known.retryAfterMillis(now)));
     return true;
   }
 
@@ -149,7 +156,7 @@
    * Handles a message of another node.
    *
    * @param sender name of the node
-   * @param message what arrived
+   * @param message the message
    */
   public void receive(String sender, QuotaMessage message) {
     if (message instanceof QuotaMessage.Ask ask) {
@@ -157,23 +164,23 @@
     } else if (message instanceof QuotaMessage.NotRun notRun) {
       server.receive(sender, notRun);
     } else {
-      health.heard(sender);
-      decided(sender, message);
+      health.recordReply(sender);
+      handleDecision(sender, message);
     }
   }
 
-  private void decided(String quotaServer, QuotaMessage message) {
+  private void handleDecision(String quotaServer, QuotaMessage message) {
     if (message instanceof QuotaMessage.Admitted admitted) {
       for (int number : admitted.numbers()) {
         QuotaOperation operation = remove(number, quotaServer);
         if (operation != null) {
-          operation.admittedThere(() -> outbox.notRun(quotaServer, number));
+          operation.admittedByServer(() -> outbox.notRun(quotaServer, number));
         }
       }
     } else if (message instanceof QuotaMessage.Waits waits) {
       for (int number : waits.numbers()) {
         if (quotaServer.equals(quotaServerOf.get(number))) {
-          open.get(number).waitsThere();
+          open.get(number).queuedAtServer();
         }
       }
     } else if (message instanceof QuotaMessage.Refused refused) {
@@ -196,36 +203,36 @@
   }
 
   /**
-   * The link to a node broke. What it was asked does not run here, and counts there if it was
-   * admitted.
+   * Handles the loss of the peer link to a node. Requests outstanding there go to the next quota
+   * server; an operation that the lost server has admitted stays counted there.
    *
    * @param peer name of the node
    */
   public void linkLost(String peer) {
     server.linkLost(peer);
-    loseQuotaServer(peer);
+    retryElsewhere(peer);
   }
 
   /**
-   * No link to a node came about.
+   * Handles messages that were dropped because no peer link to a node could be opened.
    *
    * @param peer name of the node
-   * @param messages what was dropped on the way to it
+   * @param messages the dropped messages
    */
   public void undelivered(String peer, List<Object> messages) {
     if (quotaServerOf.containsValue(peer)) {
-      health.suspect(peer, "no link comes about");
+      health.suspect(peer, "no peer link can be opened");
     }
     for (Object message : messages) {
       if (message instanceof QuotaMessage.Ask ask) {
         for (int i = 0; i < ask.tenants().size(); i++) {
-          loseQuotaServer(peer, ask.firstNumber() + i);
+          retryElsewhere(peer, ask.firstNumber() + i);
         }
       }
     }
   }
 
-  private void loseQuotaServer(String peer) {
+  private void retryElsewhere(String peer) {
     List<Integer> lost = new ArrayList<>();
     quotaServerOf.forEach(
         (number, quotaServer) -> {
@@ -233,28 +240,28 @@
             lost.add(number);
           }
         });
-    lost.forEach(number -> loseQuotaServer(peer, number));
+    lost.forEach(number -> retryElsewhere(peer, number));
   }
 
-  private void loseQuotaServer(String peer, int number) {
+  private void retryElsewhere(String peer, int number) {
     QuotaOperation operation = remove(number, peer);
     if (operation != null) {
       operation.quotaServerLost();
     }
   }
 
-  /** The controllers have confirmed this node. */
+  /** Handles a confirmation of this node by the controllers. */
   public void confirmed() {
     own.confirmed();
   }
 
-  /** Looks after waiting operations, reports and silent quota servers; to be called regularly. */
+  /** Checks waiting operations, reports and suspected quota servers; must be called regularly. */
   public void check() {
     own.check();
     server.check();
     health.check(node -> image.get().nodes().containsKey(node));
     long now = worker.now();
-    closed.values().removeIf(each -> now >= each.untilMillis());
+    usedUpLimits.values().removeIf(each -> now >= each.untilMillis());
   }
 
   // ---- for operations ----
@@ -275,8 +282,8 @@
     return health.isSuspected(quotaServer);
   }
 
-  void silentSince(String quotaServer, long askedMillis) {
-    health.silentSince(quotaServer, askedMillis);
+  void suspectIfNoReplySince(String quotaServer, long sentMillis) {
+    health.suspectIfNoReplySince(quotaServer, sentMillis);
   }
 
   Disposable schedule(long millis, Runnable task) {
@@ -287,24 +294,24 @@
     return own.admit(rule, request);
   }
 
-  /** Asks a quota server; returns the operation's number there. */
-  int ask(String quotaServer, QuotaOperation operation) {
+  /** Sends a request to a quota server; returns the number of the operation. */
+  int request(String quotaServer, QuotaOperation operation) {
     lastNumber++;
     open.put(lastNumber, operation);
     quotaServerOf.put(lastNumber, quotaServer);
-    outbox.ask(quotaServer, lastNumber, operation.tenant());
+    outbox.request(quotaServer, lastNumber, operation.tenant());
     return lastNumber;
   }
 
-  /** The operation does not run by what this quota server decides, or has decided. */
-  void leave(String quotaServer, int number) {
+  /** Withdraws an operation from a quota server, which must not count it. */
+  void withdraw(String quotaServer, int number) {
     if (remove(number, quotaServer) != null) {
       outbox.notRun(quotaServer, number);
     }
   }
 
-  /** Operations of the tenant are refused at once for a while. */
-  void usedUp(QuotaRefusal refusal) {
-    closed.put(refusal.tenant(), new Closed(refusal, worker.now()));
+  /** Makes operations of the tenant be refused at once for a while. */
+  void recordUsedUp(QuotaRefusal refusal) {
+    usedUpLimits.put(refusal.tenant(), new UsedUpLimit(refusal, worker.now()));
   }
 }
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaCounts.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaCounts.java
@@ -2,24 +2,24 @@
 
 import java.util.function.LongConsumer;
 
-/** Counts what was decided about operations of tenants with a limit. */
+/** Counts decisions about operations of tenants with a limit. */
 public final class QuotaCounts {
-  private LongConsumer waited = millis -> {};
+  private LongConsumer waitListener = millis -> {};
   private volatile long admitted;
   private volatile long refused;
 
   /**
-   * Sets who hears how long operations waited before they were admitted.
+   * Sets the listener for the wait of operations before they are admitted.
    *
-   * @param listener hears milliseconds on the proxy's worker
+   * @param listener receives milliseconds on the proxy's worker
    */
   public void onAdmitted(LongConsumer listener) {
-    waited = listener;
+    waitListener = listener;
   }
 
   void admitted(long waitedMillis) {
     admitted++;
-    waited.accept(waitedMillis);
+    waitListener.accept(waitedMillis);
   }
 
   void refused() {
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaMessage.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaMessage.java
@@ -8,26 +8,27 @@
  * Messages between a node that has an operation of a tenant with a limit and the tenant's quota
  * server, the node that counts the tenant's operations.
  *
- * <p>An operation's number is its node's own and is not used again by the same run of the node.
+ * <p>A node numbers its operations itself; an incarnation does not use a number twice.
  */
 public sealed interface QuotaMessage {
   /**
-   * Asks for operations; without any it asks for a sign of life.
+   * Requests to run operations. Without operations, the message is a ping.
    *
-   * @param firstNumber number of the first one; the others have the numbers that follow
-   * @param tenants whose operations they are, one for each
+   * @param firstNumber number of the first operation; the others have the following numbers
+   * @param tenants tenant of each operation
    */
   record Ask(int firstNumber, List<TenantId> tenants) implements QuotaMessage {}
 
   /**
-   * Operations that their nodes will certainly not run: they do not count, and need no answer.
+   * Operations that the sender will certainly not run; they do not count and need no answer.
    *
    * @param numbers numbers of the operations
    */
   record NotRun(int[] numbers) implements QuotaMessage, OneWayMessage {}
 
   /**
-   * Operations that may run; they count from now on. Without any it is a sign of life.
+   * Operations that are admitted; they count from now on. Without operations, the message is a
+   * liveness reply.
    *
    * @param numbers numbers of the operations
    */
@@ -41,13 +42,13 @@
   record Waits(int[] numbers) implements QuotaMessage, OneWayMessage {}
 
   /**
-   * An operation that may not run now.
+   * An operation that is refused.
    *
    * @param number number of the operation
-   * @param reason kind of refusal
+   * @param reason reason of the refusal
    * @param used operations in the window at the quota server
    * @param share operations that the quota server may admit in a window
-   * @param retryAfterMillis when there may be room
+   * @param retryAfterMillis time until the quota server may have capacity
    */
   record Refused(int number, QuotaRefusal.Reason reason, int used, int share, long retryAfterMillis)
       implements QuotaMessage, OneWayMessage {}
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaOperation.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaOperation.java
@@ -6,29 +6,29 @@
 import reactor.core.Disposable;
 
 /**
- * One operation on its way through the quota servers of its tenant. It is at one quota server at a
- * time; before the next one is asked, the one before has refused it or is told that it does not
- * run.
+ * One operation that requests admission from the quota servers of its tenant, one after the other.
+ * Before the request goes to the next server, the previous one has refused it or is notified that
+ * the operation does not run by its decision.
  */
 final class QuotaOperation implements QuotaRequest {
-  /** Longest wait at all quota servers together, and so the oldest permit that is used. */
-  private static final long LONGEST_MILLIS = 450;
+  /** Longest total wait at all quota servers, and greatest age of a permit that is used. */
+  private static final long MAX_WAIT_MILLIS = 450;
 
   /**
-   * Time in which a quota server gives a sign of life: two ways between regions, 40 ms, and a quota
-   * server that is busy.
+   * Time within which a quota server must send a first reply: a round trip between regions, 40 ms,
+   * and a delay at a busy quota server.
    */
-  private static final long SIGN_MILLIS = 100;
-
-  /** Time in which a quota server that has given a sign decides: its own wait, and the ways. */
-  private static final long DECISION_MILLIS = QuotaServer.WAIT_MILLIS + 50;
+  private static final long FIRST_REPLY_MILLIS = 100;
 
   /**
-   * Time to come back after no quota server was reached; a suspected one is asked again meanwhile.
+   * Time within which a quota server that has replied must decide: its own wait and a round trip.
    */
+  private static final long DECISION_MILLIS = QuotaServer.WAIT_MILLIS + 50;
+
+  /** Time to retry after no quota server responded; suspected ones are probed again meanwhile. */
   private static final long RETRY_MILLIS = 200;
 
-  private static final String NOBODY = "";
+  private static final String NONE = "";
 
   private final QuotaClient client;
   private final TenantRule rule;
@@ -36,11 +36,11 @@
   private final List<String> quotaServers;
   private final long sinceMillis;
   private int next;
-  private boolean asked;
+  private boolean sent;
   private boolean ended;
-  private String quotaServer = NOBODY;
+  private String quotaServer = NONE;
   private int number;
-  private long askedMillis;
+  private long sentMillis;
   private QuotaRefusal lastRefusal;
   private Disposable timer = () -> {};
   private Disposable waitingHere = () -> {};
@@ -55,35 +55,38 @@
   }
 
   void start() {
-    askNext();
+    requestNext();
   }
 
-  /** Takes the operation back; nobody hears an outcome any more. */
+  /** Cancels the operation; no decision is reported any more. */
   void cancel() {
     if (!ended) {
-      leaveQuotaServer();
+      withdraw();
       ended = true;
     }
   }
 
-  private void askNext() {
+  private void requestNext() {
     timer.dispose();
     quotaServer = nextQuotaServer();
-    if (quotaServer.isEmpty() || leftMillis() <= 0) {
+    if (quotaServer.isEmpty() || remainingMillis() <= 0) {
       refuse();
       return;
     }
-    asked = true;
-    askedMillis = client.now();
+    sent = true;
+    sentMillis = client.now();
     if (client.isSelf(quotaServer)) {
       waitingHere = client.admitHere(rule, this);
     } else {
-      number = client.ask(quotaServer, this);
-      timer = client.schedule(SIGN_MILLIS, this::noSign);
+      number = client.request(quotaServer, this);
+      timer = client.schedule(FIRST_REPLY_MILLIS, this::firstReplyTimedOut);
     }
   }
 
-  /** Suspected quota servers are left out, but one is asked in any case. */
+  /**
+   * Returns the next quota server that is not suspected. If all are suspected, returns the first
+   * one, so that at least one request is sent.
+   */
   private String nextQuotaServer() {
     while (next < quotaServers.size()) {
       String candidate = quotaServers.get(next);
@@ -92,55 +95,58 @@
         return candidate;
       }
     }
-    return asked || quotaServers.isEmpty() ? NOBODY : quotaServers.get(0);
+    return sent || quotaServers.isEmpty() ? NONE : quotaServers.get(0);
   }
 
-  private long leftMillis() {
-    long longest = Math.min(LONGEST_MILLIS, request.maxWaitMillis());
+  private long remainingMillis() {
+    long longest = Math.min(MAX_WAIT_MILLIS, request.maxWaitMillis());
     return sinceMillis + longest - client.now();
   }
 
-  // ---- silence ----
+  // ---- time-outs ----
 
-  private void noSign() {
-    client.silentSince(quotaServer, askedMillis);
-    notDecided();
+  private void firstReplyTimedOut() {
+    client.suspectIfNoReplySince(quotaServer, sentMillis);
+    decisionTimedOut();
   }
 
-  private void notDecided() {
-    leaveQuotaServer();
-    askNext();
+  private void decisionTimedOut() {
+    withdraw();
+    requestNext();
   }
 
-  private void leaveQuotaServer() {
+  private void withdraw() {
     timer.dispose();
     waitingHere.dispose();
     if (!quotaServer.isEmpty() && !client.isSelf(quotaServer)) {
-      client.leave(quotaServer, number);
+      client.withdraw(quotaServer, number);
     }
   }
 
-  /** The quota server works on it. */
-  void waitsThere() {
+  /** Called when the operation waits at the quota server. */
+  void queuedAtServer() {
     timer.dispose();
-    long left = askedMillis + DECISION_MILLIS - client.now();
-    timer = client.schedule(Math.max(0, left), this::notDecided);
+    long remaining = sentMillis + DECISION_MILLIS - client.now();
+    timer = client.schedule(Math.max(0, remaining), this::decisionTimedOut);
   }
 
-  /** The quota server can't be reached. */
+  /** Called when the quota server can't be reached. */
   void quotaServerLost() {
     if (!ended) {
-      askNext();
+      requestNext();
     }
   }
 
   // ---- outcomes ----
 
-  /** The quota server admitted it; too late when this node was frozen meanwhile. */
-  void admittedThere(QuotaPermit permit) {
-    if (client.now() - askedMillis > LONGEST_MILLIS) {
+  /**
+   * Called when the quota server has admitted the operation. The permit may be too old, for
+   * instance after this process was frozen; then it is given back.
+   */
+  void admittedByServer(QuotaPermit permit) {
+    if (client.now() - sentMillis > MAX_WAIT_MILLIS) {
       permit.giveBack();
-      askNext();
+      requestNext();
     } else {
       admitted(permit);
     }
@@ -151,10 +157,10 @@
     return rule.id();
   }
 
-  /** Longest wait at this node, if it is a quota server. */
+  /** Returns the longest wait at this node, when it is the quota server. */
   @Override
   public long maxWaitMillis() {
-    return Math.min(QuotaServer.WAIT_MILLIS, leftMillis());
+    return Math.min(QuotaServer.WAIT_MILLIS, remainingMillis());
   }
 
   @Override
@@ -167,10 +173,10 @@
   @Override
   public void refused(QuotaRefusal refusal) {
     lastRefusal = refusal;
-    if (refusal.mayRunElsewhere()) {
-      askNext();
+    if (refusal.mayRetryElsewhere()) {
+      requestNext();
     } else {
-      client.usedUp(refusal);
+      client.recordUsedUp(refusal);
       refuse();
     }
   }
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaOutbox.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaOutbox.java
@@ -9,19 +9,19 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * Gathers what is to be sent to nodes about operations until the tasks at hand are done, so that
- * operations that come together go in one message.
+ * Batches messages about operations, by node, until the worker has run its pending tasks, so that
+ * operations that arrive together go in one message.
  *
  * <p>All methods run on the proxy's worker.
  */
 final class QuotaOutbox {
-  /** What is to be sent to one node. */
+  /** Entries to be sent to one node. */
   private static final class Batch {
-    private final List<TenantId> asked = new ArrayList<>();
+    private final List<TenantId> requested = new ArrayList<>();
     private final List<Integer> admitted = new ArrayList<>();
     private final List<Integer> waits = new ArrayList<>();
     private final List<Integer> notRun = new ArrayList<>();
-    private int firstAsked;
+    private int firstRequested;
   }
 
   private final Worker worker;
@@ -33,16 +33,16 @@
     this.network = network;
   }
 
-  /** Asks a quota server; numbers that do not follow one another go in messages of their own. */
-  void ask(String quotaServer, int number, TenantId tenant) {
+  /** Adds a request to a quota server; a message holds only consecutive numbers. */
+  void request(String quotaServer, int number, TenantId tenant) {
     Batch batch = batch(quotaServer);
-    if (!batch.asked.isEmpty() && number != batch.firstAsked + batch.asked.size()) {
-      sendAsked(quotaServer, batch);
+    if (!batch.requested.isEmpty() && number != batch.firstRequested + batch.requested.size()) {
+      sendRequested(quotaServer, batch);
     }
-    if (batch.asked.isEmpty()) {
-      batch.firstAsked = number;
+    if (batch.requested.isEmpty()) {
+      batch.firstRequested = number;
     }
-    batch.asked.add(tenant);
+    batch.requested.add(tenant);
   }
 
   void notRun(String quotaServer, int number) {
@@ -57,7 +57,9 @@
     batch(node).waits.add(number);
   }
 
-  /** Sends at once; these are few, or come from one tenant that wants more than its limit. */
+  /**
+   * Sends a message unbatched. Such messages are few, or caused by a tenant that exceeds its limit.
+   */
   void send(String node, QuotaMessage message) {
     network.send(node, message);
   }
@@ -70,14 +72,14 @@
   }
 
   private void flush() {
-    Map<String, Batch> full = new LinkedHashMap<>(batches);
+    Map<String, Batch> pending = new LinkedHashMap<>(batches);
     batches.clear();
-    full.forEach(this::flush);
+    pending.forEach(this::flush);
   }
 
   private void flush(String node, Batch batch) {
-    if (!batch.asked.isEmpty()) {
-      sendAsked(node, batch);
+    if (!batch.requested.isEmpty()) {
+      sendRequested(node, batch);
     }
     if (!batch.admitted.isEmpty()) {
       network.send(node, new QuotaMessage.Admitted(numbers(batch.admitted)));
@@ -90,9 +92,10 @@
     }
   }
 
-  private void sendAsked(String quotaServer, Batch batch) {
-    network.send(quotaServer, new QuotaMessage.Ask(batch.firstAsked, new ArrayList<>(batch.asked)));
-    batch.asked.clear();
+  private void sendRequested(String quotaServer, Batch batch) {
+    network.send(
+        quotaServer, new QuotaMessage.Ask(batch.firstRequested, new ArrayList<>(batch.requested)));
+    batch.requested.clear();
   }
 
   private static int[] numbers(List<Integer> list) {
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaPermit.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaPermit.java
@@ -1,11 +1,11 @@
 package org.streamcourse.request.quota;
 
-/** One operation that counts against its tenant's limit. */
+/** Permission to run one operation, which counts against its tenant's limit. */
 @FunctionalInterface
 public interface QuotaPermit {
-  /** For tenants without a limit. */
+  /** Permit for tenants without a limit. */
   QuotaPermit UNCOUNTED = () -> {};
 
-  /** The operation certainly was not run, so it does not count. */
+  /** Removes the operation from the count, because it has certainly not run. */
   void giveBack();
 }
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaRefusal.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaRefusal.java
@@ -3,27 +3,27 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * Why an operation may not run now.
+ * The refusal of an operation.
  *
- * @param tenant whose limit it is
- * @param reason kind of refusal
- * @param node node that counts
- * @param used operations in the window there
+ * @param tenant tenant of the limit
+ * @param reason reason of the refusal
+ * @param node node that counts the tenant's operations
+ * @param used operations in the window at this node
  * @param share operations that the node may run in a window
- * @param retryAfterMillis when there may be room
+ * @param retryAfterMillis time until there may be capacity
  */
 public record QuotaRefusal(
     TenantId tenant, Reason reason, String node, int used, int share, long retryAfterMillis) {
-  /** Kinds of refusals. */
+  /** Reason of a refusal. */
   public enum Reason {
-    /** The limit is used up over all nodes. */
-    NO_MORE("no more to be had"),
-    /** The node has no room, and the controllers gave it no more in time. */
-    NO_ANSWER("more was asked for"),
-    /** The controllers have not confirmed the node for too long, so its share does not count. */
+    /** The limit is used up at all nodes together. */
+    NO_MORE("the limit is used up at all nodes"),
+    /** The node has used up its share, and the controllers did not grant more in time. */
+    NO_ANSWER("no larger share was granted in time"),
+    /** The controllers have not confirmed the node for too long, so it may not use its share. */
     NOT_CONFIRMED("not confirmed by the controllers"),
-    /** None of the nodes that count for the tenant answered in time. */
-    SILENT("no node that counts for the tenant answered");
+    /** No quota server of the tenant responded in time. */
+    SILENT("no quota server of the tenant responded");
 
     private final String text;
 
@@ -33,26 +33,26 @@
   }
 
   /**
-   * Tells whether another node that counts for the tenant may have room.
+   * Returns whether another quota server of the tenant may have capacity.
    *
-   * @return false when the limit is used up everywhere
+   * @return false when the limit is used up at all nodes
    */
-  public boolean mayRunElsewhere() {
+  public boolean mayRetryElsewhere() {
     return reason != Reason.NO_MORE;
   }
 
   /**
-   * Changes the time to come back.
+   * Returns a copy with another retry time.
    *
-   * @param millis when there may be room
-   * @return changed refusal
+   * @param millis time until there may be capacity
+   * @return the copy
    */
   public QuotaRefusal withRetryAfter(long millis) {
     return new QuotaRefusal(tenant, reason, node, used, share, millis);
   }
 
   /**
-   * Describes it for callers and logs.
+   * Describes the refusal for callers and logs.
    *
    * @return one line
    */
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaRequest.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaRequest.java
@@ -2,33 +2,33 @@
 
 import org.streamcourse.version.image.TenantId;
 
-/** An operation that wants to run within its tenant's limit. */
+/** A request to run an operation within its tenant's limit. */
 public interface QuotaRequest {
   /**
-   * Returns whose operation it is.
+   * Returns the tenant of the operation.
    *
    * @return the tenant
    */
   TenantId tenant();
 
   /**
-   * Returns how long it may wait.
+   * Returns how long the operation may wait.
    *
    * @return milliseconds
    */
   long maxWaitMillis();
 
   /**
-   * It may run.
+   * Called when the operation may run.
    *
-   * @param permit uncounts it, if it turns out not to run
+   * @param permit removes the operation from the count if it does not run
    */
   void admitted(QuotaPermit permit);
 
   /**
-   * It may not run now.
+   * Called when the operation is refused.
    *
-   * @param refusal why, and when to come back
+   * @param refusal reason and retry time
    */
   void refused(QuotaRefusal refusal);
 }
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaServer.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaServer.java
@@ -12,34 +12,34 @@
 import reactor.core.Disposable;
 
 /**
- * The side of a quota server: counts other nodes' operations against this node's shares.
+ * Counts other nodes' operations against this node's shares, as their tenants' quota server.
  *
  * <p>An operation counts from the moment it is admitted, whether the answer arrives or not, until
- * its node says that it was not run.
+ * its node reports that it was not run.
  *
  * <p>All methods run on the proxy's worker.
  */
 final class QuotaServer {
   /**
-   * Time for which another node's operation waits here. The leader gives more of a limit within
-   * some 150 ms; then the node asks the next quota server.
+   * Longest wait of another node's operation at this node, after which the other node sends the
+   * request to the next quota server. The leader grants a larger share within about 150 ms.
    */
   static final long WAIT_MILLIS = 200;
 
-  /** Time after which an admitted operation has left every window that matters. */
-  private static final long KEPT_MILLIS = 10_000;
+  /** Time after which an admitted operation has left every window and can't be given back. */
+  private static final long RETENTION_MILLIS = 10_000;
 
   /** Another node's operation. */
-  private final class Asked implements QuotaRequest {
+  private final class RemoteOperation implements QuotaRequest {
     private final String sender;
     private final int number;
     private final TenantId tenant;
-    private final long askedMillis = worker.now();
+    private final long receivedMillis = worker.now();
     private Disposable waiting = () -> {};
     private QuotaPermit permit = QuotaPermit.UNCOUNTED;
     private boolean decided;
 
-    Asked(String sender, int number, TenantId tenant) {
+    RemoteOperation(String sender, int number, TenantId tenant) {
       this.sender = sender;
       this.number = number;
       this.tenant = tenant;
@@ -59,14 +59,14 @@
     public void admitted(QuotaPermit given) {
       decided = true;
       permit = given;
-      counted++;
+      admitted++;
       outbox.admitted(sender, number);
     }
 
     @Override
     public void refused(QuotaRefusal refusal) {
       decided = true;
-      forget(this);
+      remove(this);
       outbox.send(
           sender,
           new QuotaMessage.Refused(
@@ -87,8 +87,8 @@
   private final QuotaOutbox outbox;
   private final OperationLimits own;
   private final Supplier<ClusterImage> image;
-  private final Map<String, Map<Integer, Asked>> open = new TreeMap<>();
-  private volatile long counted;
+  private final Map<String, Map<Integer, RemoteOperation>> open = new TreeMap<>();
+  private volatile long admitted;
 
   QuotaServer(
       Worker worker, QuotaOutbox outbox, OperationLimits own, Supplier<ClusterImage> image) {
@@ -98,9 +98,9 @@
     this.image = image;
   }
 
-  /** Number of other nodes' operations that were admitted here; safe from any thread. */
-  long counted() {
-    return counted;
+  /** Returns the number of other nodes' operations admitted here; safe from any thread. */
+  long admitted() {
+    return admitted;
   }
 
   void receive(String sender, QuotaMessage.Ask ask) {
@@ -110,61 +110,67 @@
     }
     int number = ask.firstNumber();
     for (TenantId tenant : ask.tenants()) {
-      ask(new Asked(sender, number, tenant));
+      admit(new RemoteOperation(sender, number, tenant));
       number++;
     }
   }
 
-  private void ask(Asked asked) {
-    TenantRule rule = image.get().document().tenant(asked.tenant).orElse(null);
+  private void admit(RemoteOperation operation) {
+    TenantRule rule = image.get().document().tenant(operation.tenant).orElse(null);
     if (rule == null || !rule.isLimited()) {
-      // This node's document is another one than the sender's, and admits without counting; the
-      // next quota server may have the sender's.
-      asked.refused(
-          new QuotaRefusal(asked.tenant, QuotaRefusal.Reason.NOT_CONFIRMED, "", 0, 0, WAIT_MILLIS));
+      // The sender's document has a limit that this node's document lacks. The sender sends the
+      // request to the next quota server, which may have the same document as the sender.
+      operation.refused(
+          new QuotaRefusal(
+              operation.tenant, QuotaRefusal.Reason.NOT_CONFIRMED, "", 0, 0, WAIT_MILLIS));
       return;
     }
-    open.computeIfAbsent(asked.sender, any -> new LinkedHashMap<>()).put(asked.number, asked);
-    asked.waiting = own.admit(rule, asked);
-    if (!asked.decided) {
-      outbox.waits(asked.sender, asked.number);
+    open.computeIfAbsent(operation.sender, any -> new LinkedHashMap<>())
+        .put(operation.number, operation);
+    operation.waiting = own.admit(rule, operation);
+    if (!operation.decided) {
+      outbox.waits(operation.sender, operation.number);
     }
   }
 
   void receive(String sender, QuotaMessage.NotRun notRun) {
-    Map<Integer, Asked> ofSender = open.get(sender);
+    Map<Integer, RemoteOperation> ofSender = open.get(sender);
     if (ofSender == null) {
       return;
     }
     for (int number : notRun.numbers()) {
-      Asked asked = ofSender.remove(number);
-      if (asked != null) {
-        asked.notRun();
+      RemoteOperation operation = ofSender.remove(number);
+      if (operation != null) {
+        operation.notRun();
       }
     }
   }
 
-  private void forget(Asked asked) {
-    Map<Integer, Asked> ofSender = open.get(asked.sender);
+  private void remove(RemoteOperation operation) {
+    Map<Integer, RemoteOperation> ofSender = open.get(operation.sender);
     if (ofSender != null) {
-      ofSender.remove(asked.number, asked);
+      ofSender.remove(operation.number, operation);
     }
   }
 
-  /** What the sender's run was given counts as used; a later run uses other numbers. */
+  /**
+   * Forgets the operations of a node whose link was lost. Admitted ones stay counted; the next
+   * incarnation of the node uses other numbers.
+   */
   void linkLost(String sender) {
-    Map<Integer, Asked> lost = open.remove(sender);
+    Map<Integer, RemoteOperation> lost = open.remove(sender);
     if (lost != null) {
-      List.copyOf(lost.values()).forEach(asked -> asked.waiting.dispose());
+      List.copyOf(lost.values()).forEach(operation -> operation.waiting.dispose());
     }
   }
 
-  /** Forgets what can't be given back any more; to be called regularly. */
+  /** Forgets operations that can't be given back any more; must be called regularly. */
   void check() {
     long now = worker.now();
     open.values()
         .forEach(
-            ofSender -> ofSender.values().removeIf(each -> now - each.askedMillis > KEPT_MILLIS));
+            ofSender ->
+                ofSender.values().removeIf(each -> now - each.receivedMillis > RETENTION_MILLIS));
     open.values().removeIf(Map::isEmpty);
   }
 }
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaServerHealth.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaServerHealth.java
@@ -9,23 +9,23 @@
 import org.streamcourse.process.Worker;
 
 /**
- * What this node knows of the quota servers that it has asked: one that owed a sign of life and
- * gave none is suspected, and is not asked for operations until it speaks again.
+ * Health of the quota servers to which this node has sent requests. A quota server that does not
+ * reply in time is suspected and gets no requests until it replies to a ping.
  *
  * <p>All methods run on the proxy's worker.
  */
 final class QuotaServerHealth {
   private static final Logger LOG = LoggerFactory.getLogger(QuotaServerHealth.class);
 
-  /** Time between questions to a quota server that is suspected. */
-  private static final long PROBE_MILLIS = 300;
+  /** Time between pings of a suspected quota server. */
+  private static final long PING_MILLIS = 300;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** What is known of one quota server. */
+  /** Health of one quota server. */
   private static final class Peer {
-    private long heardMillis = NEVER;
-    private long probedMillis;
+    private long lastReplyMillis = NEVER;
+    private long pingedMillis;
     private boolean suspected;
   }
 
@@ -44,24 +44,24 @@
     return peer != null && peer.suspected;
   }
 
-  /** Number of times that a quota server was found silent; safe from any thread. */
+  /** Returns the number of times that a quota server became suspected; safe from any thread. */
   long suspicions() {
     return suspicions;
   }
 
-  void heard(String quotaServer) {
+  void recordReply(String quotaServer) {
     Peer peer = peer(quotaServer);
-    peer.heardMillis = worker.now();
+    peer.lastReplyMillis = worker.now();
     if (peer.suspected) {
       peer.suspected = false;
-      LOG.info("quota server {} of tenants' limits answers again", quotaServer);
+      LOG.info("quota server {} responds again; requests are sent to it", quotaServer);
     }
   }
 
-  /** A quota server gave no sign since it was asked. */
-  void silentSince(String quotaServer, long askedMillis) {
-    if (peer(quotaServer).heardMillis < askedMillis) {
-      suspect(quotaServer, "silent for " + (worker.now() - askedMillis) + " ms");
+  /** Suspects a quota server that has not replied since a request was sent to it. */
+  void suspectIfNoReplySince(String quotaServer, long sentMillis) {
+    if (peer(quotaServer).lastReplyMillis < sentMillis) {
+      suspect(quotaServer, "no reply for " + (worker.now() - sentMillis) + " ms");
     }
   }
 
@@ -69,9 +69,12 @@
     Peer peer = peer(quotaServer);
     if (!peer.suspected) {
       peer.suspected = true;
-      peer.probedMillis = worker.now();
+      peer.pingedMillis = worker.now();
       suspicions++;
-      LOG.warn("quota server {} of tenants' limits is suspected: {}", quotaServer, cause);
+      LOG.warn(
+          "quota server {} is suspected: {}; requests are sent to other quota servers",
+          quotaServer,
+          cause);
     }
   }
 
@@ -79,16 +82,14 @@
     return peers.computeIfAbsent(quotaServer, any -> new Peer());
   }
 
-  /**
-   * Asks suspected quota servers for a sign of life, and forgets those that are no nodes any more.
-   */
+  /** Pings suspected quota servers, and removes those that are no longer nodes of the image. */
   void check(Predicate<String> isNode) {
     long now = worker.now();
     peers.keySet().removeIf(isNode.negate());
     peers.forEach(
         (quotaServer, peer) -> {
-          if (peer.suspected && now - peer.probedMillis >= PROBE_MILLIS) {
-            peer.probedMillis = now;
+          if (peer.suspected && now - peer.pingedMillis >= PING_MILLIS) {
+            peer.pingedMillis = now;
             outbox.send(quotaServer, new QuotaMessage.Ask(0, List.of()));
           }
         });
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaServerOrder.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaServerOrder.java
@@ -12,15 +12,15 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * Which nodes count a tenant's operations, by rendezvous hashing over the nodes of the image: one
- * in each region, so that all nodes of a region ask the same one, and a lost or added node is the
- * quota server of few tenants. A node asks the quota server of its region first, then the next one
- * there, then the quota servers of the other regions, near ones first.
+ * Selects the quota servers of a tenant by rendezvous hashing over the nodes of the image: one in
+ * each region, so that all nodes of a region use the same one, and the loss or addition of a node
+ * moves few tenants. A node uses the quota server of its region first, then the second one there,
+ * then those of the other regions, near ones first.
  *
  * <p>All methods run on the proxy's worker.
  */
 public final class QuotaServerOrder {
-  /** Nodes among which one quota server is chosen. */
+  /** Groups of nodes in each of which one quota server is chosen. */
   public enum Scope {
     /** One quota server in each zone. */
     ZONE,
@@ -30,11 +30,11 @@
     FLEET
   }
 
-  /** Quota servers that one operation asks at most, one after the other. */
-  static final int MOST_QUOTA_SERVERS = 4;
+  /** Greatest number of quota servers that one operation tries, one after the other. */
+  static final int MAX_QUOTA_SERVERS = 4;
 
-  /** Quota servers of the own region; the second follows when the first is lost. */
-  private static final int OWN_QUOTA_SERVERS = 2;
+  /** Quota servers in the node's own group; the second one is used when the first is lost. */
+  private static final int OWN_GROUP_SERVERS = 2;
 
   private static final LongHashFunction HASH = LongHashFunction.xx();
 
@@ -43,14 +43,14 @@
 
   private final Scope scope;
   private final Placement placement;
-  private final Map<TenantId, List<String>> known = new HashMap<>();
+  private final Map<TenantId, List<String>> cache = new HashMap<>();
   private TreeMap<String, NodeImage> nodes = new TreeMap<>();
 
   /**
    * Creates an order.
    *
-   * @param scope among which nodes one quota server is chosen
-   * @param placement region and zone of the asking node
+   * @param scope groups of nodes in each of which one quota server is chosen
+   * @param placement region and zone of this node
    */
   public QuotaServerOrder(Scope scope, Placement placement) {
     this.scope = scope;
@@ -62,14 +62,14 @@
    *
    * @param present nodes of the image in force
    * @param tenant the tenant
-   * @return names of nodes, the one to ask first in front
+   * @return names of nodes, in the order in which they are tried
    */
   public List<String> of(TreeMap<String, NodeImage> present, TenantId tenant) {
     if (present != nodes) {
       nodes = present;
-      known.clear();
+      cache.clear();
     }
-    return known.computeIfAbsent(tenant, this::choose);
+    return cache.computeIfAbsent(tenant, this::choose);
   }
 
   private List<String> choose(TenantId tenant) {
@@ -82,7 +82,7 @@
             .add(new Candidate(node, weight));
       }
     }
-    int own = scope == Scope.FLEET ? MOST_QUOTA_SERVERS : OWN_QUOTA_SERVERS;
+    int own = scope == Scope.FLEET ? MAX_QUOTA_SERVERS : OWN_GROUP_SERVERS;
     List<String> quotaServers = new ArrayList<>(heaviest(groups.remove(group(placement)), own));
     List<Candidate> others = new ArrayList<>();
     for (List<Candidate> group : groups.values()) {
@@ -92,7 +92,7 @@
         Comparator.comparingInt((Candidate each) -> each.node().placement().distanceTo(placement))
             .thenComparingLong(Candidate::weight));
     others.forEach(each -> quotaServers.add(each.node().name()));
-    return List.copyOf(quotaServers.subList(0, Math.min(MOST_QUOTA_SERVERS, quotaServers.size())));
+    return List.copyOf(quotaServers.subList(0, Math.min(MAX_QUOTA_SERVERS, quotaServers.size())));
   }
 
   private String group(Placement of) {
@@ -103,13 +103,13 @@
     };
   }
 
-  private static List<String> heaviest(List<Candidate> candidates, int most) {
+  private static List<String> heaviest(List<Candidate> candidates, int limit) {
     if (candidates == null) {
       return List.of();
     }
     return candidates.stream()
         .sorted(Comparator.comparingLong(Candidate::weight).reversed())
-        .limit(most)
+        .limit(limit)
         .map(each -> each.node().name())
         .toList();
   }
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaTypes.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaTypes.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Lists the types that nodes exchange to count tenants' operations. */
+/** Serialized types of the messages between nodes and quota servers. */
 public final class QuotaTypes {
-  /** Types in the order that numbers them. */
+  /** Types in the order that determines their serialization numbers. */
   public static final List<Class<?>> ALL =
       List.of(
           QuotaRefusal.Reason.class,
--- a/server/src/main/java/org/streamcourse/request/quota/TenantQuotas.java
+++ b/server/src/main/java/org/streamcourse/request/quota/TenantQuotas.java
@@ -18,57 +18,61 @@
 import reactor.core.Disposable;
 
 /**
- * Keeps this node's operations within its shares of the tenants' limits, and tells the controllers
- * what it needs: at once when operations wait, otherwise what has changed once a second.
+ * Keeps this node's operations within its shares of the tenants' limits, and reports its demand to
+ * the controllers: at once when operations wait, otherwise changes once a second.
  *
- * <p>An operation without room waits while the controllers may give more, for {@link
- * #ASKED_WAIT_MILLIS} at most, and is then told to come back after the next question; where the
- * limit is used up it is refused at once, with the time at which this node's window has room.
+ * <p>An operation that exceeds the share waits while the controllers may grant more, for {@link
+ * #MAX_WAIT_MILLIS} at most, and is then refused with the time of the next request as its retry
+ * time. If the limit is used up, it is refused at once, with the time until this node's window has
+ * capacity.
  *
  * <p>All methods run on the proxy's worker.
  */
 public final class TenantQuotas implements OperationLimits {
-  /** An answer takes two ways to the leader, a round among the controllers, and a look each. */
-  static final long ASKED_WAIT_MILLIS = 400;
+  /**
+   * Longest wait for a larger share: a round trip to the leader, a commit among the controllers,
+   * and periodic checks at both ends.
+   */
+  static final long MAX_WAIT_MILLIS = 400;
 
-  /** Least time between two reports, so that what waits at once goes along. */
-  private static final long REPORT_GAP_MILLIS = 60;
+  /** Least time between two reports, so that one report covers all operations that wait by then. */
+  private static final long MIN_REPORT_INTERVAL_MILLIS = 60;
 
-  /** Time after which an unanswered question for more is asked again. */
-  private static final long ASK_AGAIN_MILLIS = 100;
+  /** Time after which a request for a larger share is repeated. */
+  private static final long REQUEST_AGAIN_MILLIS = 100;
 
-  private static final long CHANGES_MILLIS = 1_000;
-  private static final long COMPLETE_MILLIS = 5_000;
+  private static final long CHANGES_REPORT_MILLIS = 1_000;
+  private static final long COMPLETE_REPORT_MILLIS = 5_000;
 
-  /** Time after its last operation until a tenant's share is given back. */
+  /** Time after a tenant's last operation until its share is given back. */
   private static final long UNUSED_MILLIS = 30_000;
 
-  /** Time from the start of a run until shares of tenants that it has not seen are given back. */
+  /** Time after a start until inherited shares of tenants without operations are given back. */
   private static final long SETTLED_MILLIS = 10_000;
 
-  /** Operations of a tenant that wait at once; more would wait for longer than they may. */
-  private static final int MOST_WAITING = 64;
+  /** Most waiting operations of a tenant; with more, the last would wait too long. */
+  private static final int MAX_WAITING = 64;
 
   /**
-   * Operations beyond those used by which a share is kept larger for bursts. More would keep much
-   * of a flooded limit where it is not needed.
+   * Most operations that are reported as used for bursts, beyond those admitted. More would keep
+   * shares of an overloaded limit at nodes that do not need them.
    */
-  private static final int MOST_FOR_BURSTS = 12;
+  private static final int MAX_BURST_RESERVE = 12;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   /** An operation that waits. */
   private record Waiting(QuotaRequest request, long sinceMillis) {}
 
-  /** What is known of one tenant. */
+  /** State of one tenant. */
   private static final class State {
     private final LocalQuota quota;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private QuotaDemand told;
+    private QuotaDemand reported;
     private long usedMillis;
-    private long askedMillis = NEVER;
-    private int admittedSinceTold;
-    private int refusedSinceTold;
+    private long requestedMillis = NEVER;
+    private int admittedSinceReport;
+    private int refusedSinceReport;
 
     State(LocalQuota quota) {
       this.quota = quota;
@@ -96,9 +100,9 @@
    * @param worker the proxy's worker
    * @param pacing how fast shares may be used
    * @param node name of this node
-   * @param run number of this run of the node
-   * @param holdsShares tells whether the controllers have confirmed this node lately enough
-   * @param toLeader brings a report to the leading controller, or loses it
+   * @param run number of this incarnation of the node
+   * @param holdsShares returns whether the last confirmation by the controllers is recent enough
+   * @param toLeader sends a report to the leading controller; reports may be lost
    */
   public TenantQuotas(
       Worker worker,
@@ -132,15 +136,15 @@
     state.usedMillis = now;
     if (state.waiting.isEmpty() && take(state, now)) {
       admitted(request, state, now, now);
-      askAhead(state, now);
+      requestMore(state, now);
       return () -> {};
     }
     Waiting waiting = new Waiting(request, now);
-    long wait = Math.min(request.maxWaitMillis(), ASKED_WAIT_MILLIS);
-    if (mayComeSoon(state, now, wait)) {
+    long wait = Math.min(request.maxWaitMillis(), MAX_WAIT_MILLIS);
+    if (mayBeAdmittedInTime(state, now, wait)) {
       state.waiting.addLast(waiting);
       worker.schedule(wait, () -> expire(state, waiting));
-      askAhead(state, now);
+      requestMore(state, now);
       return () -> state.waiting.remove(waiting);
     }
     refuse(state, waiting, now);
@@ -156,8 +160,8 @@
   }
 
   /**
-   * Drops all shares once the last confirmation is too old: the controllers may have given them to
-   * others by the time at which the next one comes.
+   * Returns whether shares may be used. Drops all shares when the last confirmation is too old,
+   * since the controllers may assign them to other nodes before the next confirmation.
    */
   private boolean mayUseShares() {
     boolean holds = holdsShares.getAsBoolean();
@@ -171,16 +175,16 @@
   }
 
   private void admitted(QuotaRequest request, State state, long since, long now) {
-    state.admittedSinceTold++;
+    state.admittedSinceReport++;
     counts.admitted(now - since);
     request.admitted(() -> state.quota.giveBack(now, worker.now()));
   }
 
-  /** Whether an operation behind those that wait may have room in time. */
-  private static boolean mayComeSoon(State state, long now, long wait) {
+  /** Returns whether an operation behind those that wait may be admitted in time. */
+  private static boolean mayBeAdmittedInTime(State state, long now, long wait) {
     int ahead = state.waiting.size();
-    return ahead < MOST_WAITING
-        && (!state.quota.isExhausted() || state.quota.roomInMillis(ahead + 1, now) <= wait);
+    return ahead < MAX_WAITING
+        && (!state.quota.isExhausted() || state.quota.millisUntilAllowed(ahead + 1, now) <= wait);
   }
 
   private void expire(State state, Waiting waiting) {
@@ -190,7 +194,7 @@
   }
 
   private void refuse(State state, Waiting waiting, long now) {
-    state.refusedSinceTold++;
+    state.refusedSinceReport++;
     counts.refused();
     QuotaRefusal refusal =
         new QuotaRefusal(
@@ -200,7 +204,7 @@
             state.quota.used(now),
             state.quota.held(now),
             retryAfterMillis(state, now));
-    askAhead(state, now);
+    requestMore(state, now);
     waiting.request().refused(refusal);
   }
 
@@ -211,17 +215,22 @@
     return state.quota.isExhausted() ? QuotaRefusal.Reason.NO_MORE : QuotaRefusal.Reason.NO_ANSWER;
   }
 
-  /** Where more may be given, that takes another question; else this node's window must move on. */
+  /**
+   * Returns the time to the next request if more may be granted, else the time until this node's
+   * window has capacity.
+   */
   private static long retryAfterMillis(State state, long now) {
-    long room = Math.max(1, state.quota.roomInMillis(state.waiting.size() + 1, now));
-    return state.quota.isExhausted() ? room : Math.min(room, ASK_AGAIN_MILLIS);
+    long untilAllowed = Math.max(1, state.quota.millisUntilAllowed(state.waiting.size() + 1, now));
+    return state.quota.isExhausted() ? untilAllowed : Math.min(untilAllowed, REQUEST_AGAIN_MILLIS);
   }
 
-  /** Asks for more when what was given is used up or nearly so. */
-  private void askAhead(State state, long now) {
-    boolean isShort = !state.quota.hasRoomFor(state.waiting.size() + 1, now);
-    if (isShort && now - state.askedMillis >= ASK_AGAIN_MILLIS) {
-      state.askedMillis = now;
+  /**
+   * Requests a larger share when the share is used up with the operations that wait and one more.
+   */
+  private void requestMore(State state, long now) {
+    boolean isShort = !state.quota.allows(state.waiting.size() + 1, now);
+    if (isShort && now - state.requestedMillis >= REQUEST_AGAIN_MILLIS) {
+      state.requestedMillis = now;
       reportSoon(now);
     }
   }
@@ -229,12 +238,12 @@
   private void reportSoon(long now) {
     if (!reportScheduled) {
       reportScheduled = true;
-      long wait = Math.max(0, reportedMillis + REPORT_GAP_MILLIS - now);
+      long wait = Math.max(0, reportedMillis + MIN_REPORT_INTERVAL_MILLIS - now);
       worker.schedule(wait, () -> report(false));
     }
   }
 
-  /** Reports what has changed, or all. */
+  /** Reports all tenants, or those whose demand has changed. */
   private void report(boolean complete) {
     reportScheduled = false;
     long now = worker.now();
@@ -243,11 +252,11 @@
     states.forEach(
         (tenant, state) -> {
           QuotaDemand demand = demand(tenant, state, now);
-          if (complete || !demand.needsTheSame(state.told) || demand.waiting() > 0) {
+          if (complete || !demand.needsTheSame(state.reported) || demand.waiting() > 0) {
             demands.add(demand);
-            state.told = demand;
-            state.admittedSinceTold = 0;
-            state.refusedSinceTold = 0;
+            state.reported = demand;
+            state.admittedSinceReport = 0;
+            state.refusedSinceReport = 0;
           }
         });
     if (complete || !demands.isEmpty()) {
@@ -256,10 +265,13 @@
     }
   }
 
-  /** What is told as used: what the pacing needed, but not all that a single burst needed. */
-  private static int asUsed(State state, long now) {
-    int most = state.quota.used(now) + MOST_FOR_BURSTS;
-    return Math.min(most, state.quota.needed(now));
+  /**
+   * Returns the use to report: the share that the pacing needed, without the excess of a single
+   * large burst.
+   */
+  private static int reportedUse(State state, long now) {
+    int max = state.quota.used(now) + MAX_BURST_RESERVE;
+    return Math.min(max, state.quota.needed(now));
   }
 
   private static QuotaDemand demand(TenantId tenant, State state, long now) {
@@ -267,39 +279,40 @@
         tenant,
         state.quota.number(),
         state.quota.held(now),
-        asUsed(state, now),
+        reportedUse(state, now),
         state.waiting.size(),
-        state.admittedSinceTold,
-        state.refusedSinceTold);
+        state.admittedSinceReport,
+        state.refusedSinceReport);
   }
 
   /**
-   * Takes in a leader's word.
+   * Applies shares assigned by the leader.
    *
-   * @param news what the leader said
+   * @param news message of the leader
    */
   public void receive(QuotaNews news) {
     mayUseShares();
     if (news.run() != run || lapsed) {
-      // What was said before a lapse may have been given to others; the leader says it again.
+      // Shares sent before the confirmation lapsed may belong to other nodes; the leader sends them
+      // again.
       return;
     }
     long now = worker.now();
     for (QuotaShare share : news.shares()) {
       if (share.inherited() > 0) {
-        // A former run's share is kept ready, so that the first operation need not ask for it.
+        // Keeps an inherited share, so that the first operation need not request it.
         state(share.tenant()).usedMillis = now;
       }
       State state = states.get(share.tenant());
       if (state != null) {
-        takeIn(share, state.quota, now);
-        serveWaiting(state, now);
+        update(share, state.quota, now);
+        admitWaiting(state, now);
       }
     }
   }
 
-  private static void takeIn(QuotaShare share, LocalQuota quota, long now) {
-    quota.told(
+  private static void update(QuotaShare share, LocalQuota quota, long now) {
+    quota.update(
         share.number(),
         share.operations(),
         share.inherited(),
@@ -309,28 +322,29 @@
   }
 
   /**
-   * The controllers have confirmed this node: its shares may be used, and it is known who leads, so
-   * what waits is asked for at once. A node that starts asks controllers that do not lead before.
+   * Handles a confirmation of this node by the controllers. The leader is known from now on, so a
+   * request is sent at once for operations that wait; earlier requests of a starting node may have
+   * gone to controllers that do not lead.
    */
   public void confirmed() {
     long now = worker.now();
     if (completedMillis == NEVER) {
-      // The leader hears of this run and of all that waits, and gives it what the former run had.
+      // A complete report, by which the leader assigns the former incarnation's shares to this one.
       completedMillis = now;
       report(true);
-      states.values().forEach(state -> state.askedMillis = now);
+      states.values().forEach(state -> state.requestedMillis = now);
       return;
     }
     for (State state : List.copyOf(states.values())) {
       if (!state.waiting.isEmpty()) {
-        serveWaiting(state, now);
-        state.askedMillis = NEVER;
-        askAhead(state, now);
+        admitWaiting(state, now);
+        state.requestedMillis = NEVER;
+        requestMore(state, now);
       }
     }
   }
 
-  private void serveWaiting(State state, long now) {
+  private void admitWaiting(State state, long now) {
     while (!state.waiting.isEmpty() && take(state, now)) {
       Waiting next = state.waiting.pollFirst();
       admitted(next.request(), state, next.sinceMillis(), now);
@@ -338,30 +352,31 @@
     int ahead = 0;
     for (Waiting waiting : List.copyOf(state.waiting)) {
       ahead++;
-      long left = waiting.sinceMillis() + ASKED_WAIT_MILLIS - now;
-      boolean late = state.quota.isExhausted() && state.quota.roomInMillis(ahead, now) > left;
+      long remaining = waiting.sinceMillis() + MAX_WAIT_MILLIS - now;
+      boolean late =
+          state.quota.isExhausted() && state.quota.millisUntilAllowed(ahead, now) > remaining;
       if (late && state.waiting.remove(waiting)) {
         refuse(state, waiting, now);
       }
     }
   }
 
-  /** Serves what waits, gives back what is not used, and reports; to be called regularly. */
+  /** Admits waiting operations, gives back unused shares, and reports; must be called regularly. */
   public void check() {
     long now = worker.now();
     mayUseShares();
     states.values().removeIf(state -> isUnused(state, now));
-    // A copy, since an operation that is served or refused may be followed by another one at once.
+    // Copied, because a caller may request another operation as soon as one is decided.
     for (State state : List.copyOf(states.values())) {
       if (!state.waiting.isEmpty()) {
-        serveWaiting(state, now);
-        askAhead(state, now);
+        admitWaiting(state, now);
+        requestMore(state, now);
       }
     }
-    if (now - completedMillis >= COMPLETE_MILLIS && holdsShares.getAsBoolean()) {
+    if (now - completedMillis >= COMPLETE_REPORT_MILLIS && holdsShares.getAsBoolean()) {
       completedMillis = now;
       report(true);
-    } else if (now - reportedMillis >= CHANGES_MILLIS && !states.isEmpty()) {
+    } else if (now - reportedMillis >= CHANGES_REPORT_MILLIS && !states.isEmpty()) {
       report(false);
     }
   }
--- a/server/src/main/java/org/streamcourse/request/quota/package-info.java
+++ b/server/src/main/java/org/streamcourse/request/quota/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Limits of tenants that hold over all nodes together: what this node may run of each tenant's
- * operations, and what it asks the controllers for. The design note is docs/design/tenants.md.
+ * Tenants' limits that hold over all nodes together: the shares of this node, the requests for
+ * larger shares, and the quota servers that count operations. The design note is
+ * docs/design/tenants.md.
  */
 package org.streamcourse.request.quota;
--- a/server/src/test/java/org/streamcourse/request/quota/QuotaClientTest.java
+++ b/server/src/test/java/org/streamcourse/request/quota/QuotaClientTest.java
@@ -21,14 +21,14 @@
 import reactor.core.Disposable;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** Which quota server a node asks for an operation, and what it does when that one can't decide. */
+/** Tests to which quota server a node sends a request, and its retries when one can't decide. */
 public class QuotaClientTest {
   private static final TenantId TENANT = new TenantId("t");
   private static final TenantRule LIMITED = new TenantRule(TENANT, List.of(), 1, 10, 10);
   private static final Placement NORTH = new Placement("north", "north-a");
   private static final Placement SOUTH = new Placement("south", "south-a");
 
-  /** A message on its way. */
+  /** A sent message. */
   private record Sent(String to, Object message) {}
 
   private final List<Sent> sent = new ArrayList<>();
@@ -38,7 +38,7 @@
   private QuotaClient quotas;
   private List<String> quotaServers;
 
-  /** Time by which the clock is ahead of the tasks. */
+  /** Time by which the clock is ahead of the tasks, as after a freeze of the process. */
   private long frozenMillis;
 
   @BeforeMethod
@@ -54,7 +54,7 @@
       nodes.put("n" + i, new NodeImage("n" + i, 1, "", 1, NORTH, false));
       nodes.put("s" + i, new NodeImage("s" + i, 1, "", 1, SOUTH, false));
     }
-    // The asking node is none of the image's, so that it is nobody's quota server.
+    // This node is not in the image, so that it is no quota server.
     QuotaServerOrder order = new QuotaServerOrder(QuotaServerOrder.Scope.REGION, NORTH);
     quotaServers = order.of(nodes, TENANT);
     ClusterImage image = new ClusterImage(1, 0, new TreeMap<>(), nodes);
@@ -76,8 +76,8 @@
     clock.advanceTimeBy(Duration.ofMillis(millis));
   }
 
-  private Disposable ask() {
-    Disposable asked =
+  private Disposable request() {
+    Disposable cancellation =
         quotas.admit(
             LIMITED,
             new QuotaRequest() {
@@ -102,7 +102,7 @@
               }
             });
     pass(1);
-    return asked;
+    return cancellation;
   }
 
   private void answer(String quotaServer, QuotaMessage message) {
@@ -118,7 +118,7 @@
     return new QuotaMessage.Refused(number, reason, 3, 3, 300);
   }
 
-  private List<String> askedQuotaServers() {
+  private List<String> requestedQuotaServers() {
     return sent.stream()
         .filter(each -> each.message() instanceof QuotaMessage.Ask ask && !ask.tenants().isEmpty())
         .map(Sent::to)
@@ -140,7 +140,7 @@
   }
 
   @Test
-  public void operationsThatComeTogetherGoInOneMessage() {
+  public void operationsThatArriveTogetherGoInOneMessage() {
     quotas.admit(LIMITED, new QuotaClientTest.Ignored());
     quotas.admit(LIMITED, new QuotaClientTest.Ignored());
     pass(1);
@@ -149,8 +149,8 @@
   }
 
   @Test
-  public void aQuotaServerAdmitsAndHearsWhatDidNotRun() {
-    ask();
+  public void anAdmittedOperationThatDoesNotRunIsReportedToItsQuotaServer() {
+    request();
     answer(quotaServers.get(0), admitted(1));
     assertEquals(permits.size(), 1);
     permits.get(0).giveBack();
@@ -159,79 +159,81 @@
   }
 
   @Test
-  public void aSilentQuotaServerIsFollowedByTheNextAndAskedAgainOnceItSpeaks() {
-    ask();
+  public void withoutAReplyTheNextQuotaServerIsUsedUntilTheFirstRepliesAgain() {
+    request();
     pass(101);
-    assertEquals(askedQuotaServers(), quotaServers.subList(0, 2));
+    assertEquals(requestedQuotaServers(), quotaServers.subList(0, 2));
     assertEquals(
-        notRun(quotaServers.get(0)), 1, "it may have admitted what now runs by another's word");
+        notRun(quotaServers.get(0)),
+        1,
+        "it may have admitted the operation, which another server now decides");
     answer(quotaServers.get(0), admitted(1));
     assertEquals(permits.size(), 0, "given back already");
     sent.clear();
-    ask();
-    assertEquals(askedQuotaServers(), quotaServers.subList(0, 1), "it has spoken again");
+    request();
+    assertEquals(requestedQuotaServers(), quotaServers.subList(0, 1), "it has replied again");
   }
 
   @Test
-  public void aSuspectedQuotaServerIsNotWaitedFor() {
-    ask();
+  public void aSuspectedQuotaServerGetsPingsAndNoRequests() {
+    request();
     pass(101);
     sent.clear();
-    ask();
-    assertEquals(askedQuotaServers(), quotaServers.subList(1, 2));
+    request();
+    assertEquals(requestedQuotaServers(), quotaServers.subList(1, 2));
     pass(301);
     assertTrue(
-        sent.stream().anyMatch(each -> each.to().equals(quotaServers.get(0))),
-        "a sign of life is asked");
+        sent.stream().anyMatch(each -> each.to().equals(quotaServers.get(0))), "a ping is sent");
   }
 
   @Test
-  public void aQuotaServerThatWaitsForTheLeaderIsNotTakenForSilent() {
-    ask();
+  public void aQuotaServerThatWaitsForTheLeaderIsNotSuspected() {
+    request();
     answer(quotaServers.get(0), new QuotaMessage.Waits(new int[] {1}));
     pass(150);
-    assertEquals(askedQuotaServers().size(), 1);
+    assertEquals(requestedQuotaServers().size(), 1);
     answer(quotaServers.get(0), admitted(1));
     assertEquals(permits.size(), 1);
   }
 
   @Test
-  public void withoutRoomAtOneQuotaServerTheNextIsAsked() {
-    ask();
+  public void afterARefusalForLackOfShareTheNextQuotaServerIsUsed() {
+    request();
     answer(quotaServers.get(0), refused(1, Reason.NO_ANSWER));
-    assertEquals(askedQuotaServers(), quotaServers.subList(0, 2));
+    assertEquals(requestedQuotaServers(), quotaServers.subList(0, 2));
     assertTrue(refusals.isEmpty());
   }
 
-  /** The pattern of a tenant that floods: it costs no messages while its limit is used up. */
+  /** Guards against a message for each operation of a tenant that floods beyond its limit. */
   @Test
-  public void whereTheLimitIsUsedUpOperationsAreRefusedAtOnceWithTheTimeToComeBack() {
-    ask();
+  public void whileTheLimitIsUsedUpOperationsAreRefusedAtOnceWithARetryTime() {
+    request();
     answer(quotaServers.get(0), refused(1, Reason.NO_MORE));
     assertEquals(refusals.get(0).retryAfterMillis(), 300);
     pass(100);
     sent.clear();
-    ask();
+    request();
     assertEquals(refusals.get(1).retryAfterMillis(), 199, "101 ms later");
     assertTrue(sent.isEmpty());
     pass(200);
-    ask();
+    request();
     assertFalse(sent.isEmpty());
   }
 
   @Test
-  public void withoutAnyQuotaServerItIsRefusedBeforeItsWaitIsOver() {
-    ask();
+  public void withoutAnyQuotaServerAnOperationIsRefusedBeforeItsLongestWait() {
+    request();
     pass(451);
     assertEquals(refusals.get(0).reason(), Reason.SILENT);
   }
 
   /**
-   * The pattern of a node that was frozen: what was admitted long ago may run in another window.
+   * Guards against an old permit that a node uses after it was frozen: the operation would run in
+   * another window than the one in which it was counted.
    */
   @Test
   public void anOldPermitIsNotUsed() {
-    ask();
+    request();
     frozenMillis = 451;
     answer(quotaServers.get(0), admitted(1));
     assertTrue(permits.isEmpty());
@@ -239,8 +241,8 @@
   }
 
   @Test
-  public void whatIsTakenBackDoesNotCount() {
-    ask().dispose();
+  public void aCancelledOperationDoesNotCount() {
+    request().dispose();
     pass(1);
     assertEquals(notRun(quotaServers.get(0)), 1);
     answer(quotaServers.get(0), admitted(1));
@@ -248,14 +250,14 @@
   }
 
   @Test
-  public void aLostLinkLeadsToTheNextQuotaServer() {
-    ask();
+  public void afterTheLossOfALinkTheNextQuotaServerIsUsed() {
+    request();
     quotas.linkLost(quotaServers.get(0));
     pass(1);
-    assertEquals(askedQuotaServers(), quotaServers.subList(0, 2));
+    assertEquals(requestedQuotaServers(), quotaServers.subList(0, 2));
   }
 
-  /** Runs its tasks late, as after a freeze. */
+  /** Worker whose clock can run ahead of its tasks, as after a freeze of the process. */
   private final class LateWorker implements Worker {
     private final Worker inner;
 
@@ -270,7 +272,7 @@
 
     @Override
     public void execute(Runnable task) {
-      // A virtual clock would run it within this call.
+      // The virtual clock would run the task within this call.
       inner.schedule(1, task);
     }
 
@@ -294,12 +296,12 @@
 
     @Override
     public void admitted(QuotaPermit permit) {
-      // Not looked at.
+      // Ignored.
     }
 
     @Override
     public void refused(QuotaRefusal refusal) {
-      // Not looked at.
+      // Ignored.
     }
   }
 }
--- a/server/src/test/java/org/streamcourse/request/quota/QuotaPacingTest.java
+++ b/server/src/test/java/org/streamcourse/request/quota/QuotaPacingTest.java
@@ -9,36 +9,36 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.testng.annotations.Test;
 
-/** A later run of a node uses the share of the former one at once, and no window holds too much. */
+/** Tests that a restarted node soon uses its inherited share, and no window exceeds the share. */
 public class QuotaPacingTest {
   private static final long WINDOW_MILLIS = 5_000;
   private static final int NO_CEILING = Integer.MAX_VALUE;
   private static final QuotaPacing PACING = QuotaPacing.of(WINDOW_MILLIS);
 
-  /** Runs that start at random times, use all they may in random spurts, and rise now and then. */
+  /** Restarts at random times, with random bursts of use and occasional raises of the share. */
   @Test
-  public void noWindowHoldsMoreThanTheShareThroughAnyRestarts() {
+  public void noWindowHoldsMoreThanTheShareAcrossRestarts() {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(1);
     for (int round = 0; round < 300; round++) {
       int share = 1 + random.nextInt(120);
       Deque<Long> ran = new ArrayDeque<>();
       LocalQuota quota = new LocalQuota(PACING, 0);
-      quota.told(1, share, 0, NO_CEILING, false, 0);
+      quota.update(1, share, 0, NO_CEILING, false, 0);
       long number = 1;
-      double eagerness = random.nextDouble();
+      double takeProbability = random.nextDouble();
       for (long now = 0; now < 40_000; now += 1 + random.nextLong(60)) {
         if (random.nextInt(150) == 0) {
           number++;
           quota = new LocalQuota(PACING, now);
-          long heard = now + random.nextLong(300);
-          quota.told(number, share, share, NO_CEILING, false, heard);
-          now = heard;
+          long updatedMillis = now + random.nextLong(300);
+          quota.update(number, share, share, NO_CEILING, false, updatedMillis);
+          now = updatedMillis;
         } else if (random.nextInt(400) == 0) {
-          // A rise by what is free keeps what was inherited.
+          // The share rises by free operations; the inherited part stays.
           number++;
           share += random.nextInt(10);
         }
-        while (random.nextDouble() < eagerness && quota.take(now)) {
+        while (random.nextDouble() < takeProbability && quota.take(now)) {
           ran.addLast(now);
         }
         while (!ran.isEmpty() && now - ran.peekFirst() >= WINDOW_MILLIS) {
@@ -50,30 +50,30 @@
   }
 
   @Test
-  public void aShareOfAFormerRunIsOfUseLongBeforeAWindowIsOver() {
+  public void anInheritedShareCanBeUsedBeforeTheFirstWindowIsOver() {
     LocalQuota quota = new LocalQuota(PACING, 0);
-    quota.told(1, 100, 100, NO_CEILING, false, 2_500);
+    quota.update(1, 100, 100, NO_CEILING, false, 2_500);
     int taken = 0;
     while (quota.take(2_500)) {
       taken++;
     }
     assertTrue(taken > 10, taken + " of 100 after half a window");
     LocalQuota unpaced = new LocalQuota(QuotaPacing.none(WINDOW_MILLIS), 0);
-    unpaced.told(1, 100, 100, NO_CEILING, false, 2_500);
-    assertEquals(unpaced.take(2_500), false, "the former run may have used all of it");
+    unpaced.update(1, 100, 100, NO_CEILING, false, 2_500);
+    assertEquals(unpaced.take(2_500), false, "the former incarnation may have used all of it");
   }
 
   @Test
-  public void whatWasFreeBesidesIsOfUseAtOnce() {
+  public void theNewPartOfAShareCanBeUsedAtOnce() {
     LocalQuota quota = new LocalQuota(PACING, 0);
-    quota.told(1, 60, 20, NO_CEILING, false, 0);
+    quota.update(1, 60, 20, NO_CEILING, false, 0);
     assertTrue(quota.take(0));
   }
 
   @Test
-  public void aTenantThatWantsMoreGetsItsWholeShareInEachWindow() {
+  public void aTenantThatRequestsMoreGetsItsWholeShareInEachWindow() {
     LocalQuota quota = new LocalQuota(PACING, 0);
-    quota.told(1, 50, 0, NO_CEILING, false, 0);
+    quota.update(1, 50, 0, NO_CEILING, false, 0);
     int taken = 0;
     for (long now = 0; now < 8 * WINDOW_MILLIS; now += 10) {
       taken += quota.take(now) ? 1 : 0;
@@ -82,15 +82,15 @@
   }
 
   @Test
-  public void aShareThatWasDroppedComesBackOnlyWithANewNumber() {
+  public void aDroppedShareIsRestoredOnlyWithANewNumber() {
     LocalQuota quota = new LocalQuota(PACING, 0);
-    quota.told(3, 10, 0, NO_CEILING, false, 0);
+    quota.update(3, 10, 0, NO_CEILING, false, 0);
     assertTrue(quota.take(0));
     quota.drop();
-    quota.told(3, 10, 0, NO_CEILING, false, 10);
+    quota.update(3, 10, 0, NO_CEILING, false, 10);
     assertEquals(quota.take(10), false);
-    assertEquals(quota.held(10), 1, "what ran counts as held");
-    quota.told(4, 10, 0, NO_CEILING, false, 20);
+    assertEquals(quota.held(10), 1, "admitted operations count as held");
+    quota.update(4, 10, 0, NO_CEILING, false, 20);
     assertTrue(quota.take(20));
   }
 }
--- a/server/src/test/java/org/streamcourse/request/quota/TenantQuotasTest.java
+++ b/server/src/test/java/org/streamcourse/request/quota/TenantQuotasTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** Who waits for a share, who is refused and when to come back. */
+/** Tests which operations wait for a share, which are refused, and the retry times. */
 public class TenantQuotasTest {
   private static final TenantId TENANT = new TenantId("t");
   private static final TenantRule LIMITED = new TenantRule(TENANT, List.of(), 1, 10, 10);
@@ -47,7 +47,7 @@
     clock.advanceTimeBy(Duration.ofMillis(millis));
   }
 
-  private void ask(TenantRule rule) {
+  private void request(TenantRule rule) {
     quotas.admit(
         rule,
         new QuotaRequest() {
@@ -74,7 +74,7 @@
         });
   }
 
-  private void tell(long number, int operations, boolean exhausted) {
+  private void assignShare(long number, int operations, boolean exhausted) {
     quotas.receive(
         new QuotaNews(
             RUN,
@@ -82,76 +82,76 @@
   }
 
   @Test
-  public void aTenantWithoutALimitIsNotHeldUp() {
-    ask(new TenantRule(TENANT, List.of(), 1, TenantRule.UNLIMITED, 0));
+  public void anOperationOfATenantWithoutALimitIsAdmittedAtOnce() {
+    request(new TenantRule(TENANT, List.of(), 1, TenantRule.UNLIMITED, 0));
     assertEquals(admitted, 1);
   }
 
   @Test
-  public void theFirstOperationAsksAndWaitsForTheAnswer() {
-    ask(LIMITED);
+  public void theFirstOperationRequestsAShareAndWaitsForIt() {
+    request(LIMITED);
     pass(10);
     assertEquals(admitted, 0);
     assertEquals(reports.get(0).demands().get(0).waiting(), 1);
-    tell(1, 2, false);
+    assignShare(1, 2, false);
     assertEquals(admitted, 1);
   }
 
   @Test
-  public void withoutAnAnswerItIsRefusedSoonAndNotAtItsDeadline() {
-    ask(LIMITED);
-    pass(TenantQuotas.ASKED_WAIT_MILLIS + 1);
-    assertEquals(retryAfter, List.of(100L), "when it is asked again, not after a whole window");
+  public void withoutAnAnswerAnOperationIsRefusedBeforeItsDeadline() {
+    request(LIMITED);
+    pass(TenantQuotas.MAX_WAIT_MILLIS + 1);
+    assertEquals(retryAfter, List.of(100L), "time of the next request, not a whole window");
   }
 
-  /** The pattern of a start of all nodes: who leads is known only with the first confirmation. */
+  /** Guards against waiting operations whose request was sent before the leader was known. */
   @Test
-  public void whatWaitsIsAskedForAgainAtTheFirstConfirmation() {
+  public void aShareForWaitingOperationsIsRequestedAgainAtTheFirstConfirmation() {
     confirmed = false;
-    ask(LIMITED);
+    request(LIMITED);
     pass(30);
     assertEquals(reports.size(), 1);
     confirmed = true;
     quotas.confirmed();
     pass(60);
     assertEquals(reports.size(), 2);
-    tell(1, 1, false);
+    assignShare(1, 1, false);
     assertEquals(admitted, 1);
   }
 
   @Test
-  public void whereTheLimitIsUsedUpItIsRefusedAtOnceWithTheTimeToComeBack() {
-    ask(LIMITED);
-    tell(1, 1, false);
+  public void whenTheLimitIsUsedUpAnOperationIsRefusedAtOnceWithARetryTime() {
+    request(LIMITED);
+    assignShare(1, 1, false);
     pass(1_000);
-    tell(1, 1, true);
-    ask(LIMITED);
-    assertEquals(retryAfter, List.of(4_000L), "the first leaves the window after 5 s");
+    assignShare(1, 1, true);
+    request(LIMITED);
+    assertEquals(retryAfter, List.of(4_000L), "the first operation leaves the window after 5 s");
   }
 
   @Test
-  public void whatWaitsIsRefusedWhenTheLeaderHasNoMore() {
-    ask(LIMITED);
+  public void waitingOperationsAreRefusedWhenTheLimitIsUsedUp() {
+    request(LIMITED);
     pass(10);
-    tell(1, 0, true);
+    assignShare(1, 0, true);
     assertEquals(retryAfter.size(), 1);
   }
 
   @Test
-  public void aWordToAFormerRunIsNotTaken() {
-    ask(LIMITED);
+  public void aShareForAFormerIncarnationIsIgnored() {
+    request(LIMITED);
     quotas.receive(
         new QuotaNews(RUN - 1, List.of(new QuotaShare(TENANT, 1, 5, 0, Integer.MAX_VALUE, false))));
     assertEquals(admitted, 0);
   }
 
   @Test
-  public void aNodeThatIsCutOffForTooLongMakesNoUseOfItsShare() {
-    ask(LIMITED);
-    tell(1, 5, false);
+  public void aNodeWithoutRecentConfirmationDoesNotUseItsShare() {
+    request(LIMITED);
+    assignShare(1, 5, false);
     confirmed = false;
-    ask(LIMITED);
-    pass(TenantQuotas.ASKED_WAIT_MILLIS + 1);
+    request(LIMITED);
+    pass(TenantQuotas.MAX_WAIT_MILLIS + 1);
     assertEquals(admitted, 1);
     assertEquals(retryAfter.size(), 1);
   }
--- a/server/src/test/java/org/streamcourse/request/routing/LinkQueueTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/LinkQueueTest.java
@@ -95,7 +95,7 @@
     ScriptedService service = withoutRoomForConnections();
     service.write("w");
     service.pass(250);
-    assertEquals(service.answers.size(), 0, "the member may have room soon");
+    assertEquals(service.answers.size(), 0, "the member may accept connections soon");
     service.setFull(false);
     service.pass(300);
     assertEquals(service.completed(), 1);
--- a/server/src/test/java/org/streamcourse/version/control/QuotaWorld.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaWorld.java
@@ -164,7 +164,7 @@
         LocalQuota quota =
             parts.computeIfAbsent(
                 tenant.id, any -> new LocalQuota(QuotaPacing.none(SETTINGS.windowMillis()), 0));
-        quota.told(part, part, 0, part, true, now());
+        quota.update(part, part, 0, part, true, now());
         outcome(tenant, quota.take(now()));
         return;
       }
