--- a/lab/src/main/java/org/streamcourse/lab/simulation/ServiceChecks.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/ServiceChecks.java
@@ -90,7 +90,7 @@
 
   void answered(String statement, AnswerCode code) {
     outcomes.merge(code, 1L, Long::sum);
-    if (code.isNotKept()) {
+    if (code.hasNoEffect()) {
       refused.put(statement, code);
     }
   }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceCaller.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceCaller.java
@@ -298,7 +298,7 @@
         world.checks().signature(currentId, answer.text(), "signed/");
       }
       acknowledge();
-    } else if (!transaction.isEmpty() && answer.code().isNotKept()) {
+    } else if (!transaction.isEmpty() && answer.code().hasNoEffect()) {
       transactionWrites.forEach(write -> world.checks().answered(write, answer.code()));
     }
     if (answer.state() == SessionState.IDLE) {
--- a/server/src/main/java/org/streamcourse/request/statement/Answer.java
+++ b/server/src/main/java/org/streamcourse/request/statement/Answer.java
@@ -7,20 +7,20 @@
  * The whole answer to one statement.
  *
  * @param rows rows, unchanged
- * @param code how it ended
- * @param text signature of the member when it completed, else a text for a person
- * @param state state of the session afterwards
- * @param position place in the member's log, or null when none is known
+ * @param code outcome of the statement
+ * @param text signature of the member for a completed statement, else an error message
+ * @param state session state after the statement
+ * @param position position in the member's log, or null when unknown
  */
 public record Answer(
     List<String> rows, AnswerCode code, String text, SessionState state, TermPosition position) {
-  /** Signature of what the product answers by itself. */
+  /** Signature of statements that no member runs. */
   public static final String NO_SIGNATURE = "-";
 
   /**
    * Creates the success of a statement that no member runs.
    *
-   * @param state state of the session afterwards
+   * @param state session state after the statement
    * @return answer
    */
   public static Answer local(SessionState state) {
@@ -30,9 +30,9 @@
   /**
    * Creates an error.
    *
-   * @param code what happened
-   * @param text text for a person
-   * @param state state of the session afterwards
+   * @param code kind of error
+   * @param text error message
+   * @param state session state after the statement
    * @return answer
    */
   public static Answer error(AnswerCode code, String text, SessionState state) {
@@ -40,11 +40,11 @@
   }
 
   /**
-   * Creates an error outside a transaction that tells when to come back.
+   * Creates an error outside a transaction, with a retry time.
    *
-   * @param code what happened
-   * @param cause text for a person
-   * @param retryAfterMillis time to come back, or 0 to tell none
+   * @param code kind of error
+   * @param cause error message
+   * @param retryAfterMillis time after which to retry, or 0 to give none
    * @return answer
    */
   public static Answer refusal(AnswerCode code, String cause, long retryAfterMillis) {
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Tells whether the statement completed.
+   * Returns whether the statement completed.
    *
    * @return true unless it is an error
    */
@@ -62,10 +62,10 @@
   }
 
   /**
-   * Replaces the state.
+   * Returns a copy with another session state.
    *
-   * @param next state to tell
-   * @return changed answer
+   * @param next session state of the copy
+   * @return the copy
    */
   public Answer withState(SessionState next) {
     return new Answer(rows, code, text, next, position);
--- a/server/src/main/java/org/streamcourse/request/statement/AnswerCode.java
+++ b/server/src/main/java/org/streamcourse/request/statement/AnswerCode.java
@@ -1,50 +1,51 @@
 package org.streamcourse.request.statement;
 
-/** How a statement ended, whoever says so: a member or this product. */
+/** Outcome of a statement, as answered by a member or by a node. */
 public enum AnswerCode {
-  /** It ran. */
+  /** The statement ran and completed. */
   COMPLETE(true),
-  /** Not run: no room now; come back later. */
+  /** Not run: no capacity now; the caller may retry later. */
   BUSY(true),
-  /** The transaction was given up; nothing of it is kept. */
+  /** The transaction was aborted; none of its writes are kept. */
   ABORTED(true),
-  /** Not run: the member's log lacks the place asked for. */
+  /** Not run: the member's log has not reached the requested position. */
   BEHIND(true),
   /** Not run: the member is not primary. */
   READ_ONLY(true),
-  /** Not run: another member than the one expected. */
+  /** Not run: the connection leads to another member than expected. */
   WRONG_MEMBER(true),
-  /** Not run: the member takes no more connections. */
+  /** Not run: the member accepts no more connections. */
   TOO_MANY_CONNECTIONS(true),
   /** Not run: the prepared name does not exist. */
   UNKNOWN_NAME(true),
-  /** It was run and failed. */
+  /** The statement ran and failed. */
   FAILED(false),
-  /** It did not end in time. */
+  /** The statement did not end in time. */
   TIMEOUT(false),
-  /** It may or may not have run. */
+  /** The statement may or may not have run. */
   OUTCOME_UNKNOWN(false),
   /** Not run: the caller may not connect. */
   NOT_ALLOWED(true),
-  /** Not run: there is no such database. */
+  /** Not run: the database name is unknown. */
   UNKNOWN_DATABASE(true),
   /** Not run: the message is too large. */
   TOO_LARGE(true),
-  /** Not run: the text is no statement, or does not fit the session's state. */
+  /** Not run: the text is not a valid statement, or not allowed in the session's state. */
   MALFORMED(true);
 
-  private final boolean notKept;
+  private final boolean noEffect;
 
-  AnswerCode(boolean notKept) {
-    this.notKept = notKept;
+  AnswerCode(boolean noEffect) {
+    this.noEffect = noEffect;
   }
 
   /**
-   * Tells whether nothing of the statement is kept, other than of one that completed.
+   * Returns whether the statement has certainly left no effects, because it did not run or was
+   * rolled back.
    *
    * @return true when repeating it is safe
    */
-  public boolean isNotKept() {
-    return notKept && this != COMPLETE;
+  public boolean hasNoEffect() {
+    return noEffect && this != COMPLETE;
   }
 }
--- a/server/src/main/java/org/streamcourse/request/statement/PreparedShape.java
+++ b/server/src/main/java/org/streamcourse/request/statement/PreparedShape.java
@@ -1,9 +1,9 @@
 package org.streamcourse.request.statement;
 
 /**
- * What a prepared name stands for.
+ * Text of a prepared statement.
  *
- * @param write whether executing it writes
- * @param shape text of the shape
+ * @param write whether the statement writes when it is executed
+ * @param shape statement text without its arguments
  */
 public record PreparedShape(boolean write, String shape) {}
--- a/server/src/main/java/org/streamcourse/request/statement/SessionState.java
+++ b/server/src/main/java/org/streamcourse/request/statement/SessionState.java
@@ -6,6 +6,6 @@
   IDLE,
   /** A transaction is open. */
   TRANSACTION,
-  /** A transaction has failed and only its end is taken. */
+  /** A transaction has failed; only its commit or rollback is accepted. */
   FAILED
 }
--- a/server/src/main/java/org/streamcourse/request/statement/Statement.java
+++ b/server/src/main/java/org/streamcourse/request/statement/Statement.java
@@ -5,14 +5,14 @@
   /**
    * Begins a transaction.
    *
-   * @param readOnly whether it only reads
+   * @param readOnly whether the transaction only reads
    */
   record Begin(boolean readOnly) implements Statement {}
 
   /** Ends the transaction and keeps its writes. */
   record Commit() implements Statement {}
 
-  /** Ends the transaction and drops its writes. */
+  /** Ends the transaction and discards its writes. */
   record Rollback() implements Statement {}
 
   /** Reads. */
@@ -22,9 +22,9 @@
   record Write() implements Statement {}
 
   /**
-   * Sets a value of the session.
+   * Sets a session setting.
    *
-   * @param name its name
+   * @param name name of the setting
    * @param value new value
    */
   record SetValue(String name, String value) implements Statement {}
@@ -33,7 +33,7 @@
    * Prepares a statement for the session.
    *
    * @param name name chosen by the caller
-   * @param shape what it stands for
+   * @param shape the prepared statement
    */
   record Prepare(String name, PreparedShape shape) implements Statement {}
 
@@ -46,16 +46,16 @@
   record Execute(String name, String arguments) implements Statement {}
 
   /**
-   * Forgets a prepared statement.
+   * Deletes a prepared statement.
    *
    * @param name name chosen by the caller
    */
   record Deallocate(String name) implements Statement {}
 
   /**
-   * A text that is no statement.
+   * A text that is not a valid statement.
    *
-   * @param why what is wrong with it
+   * @param why description of the error
    */
   record Malformed(String why) implements Statement {}
 }
--- a/server/src/main/java/org/streamcourse/request/statement/StatementId.java
+++ b/server/src/main/java/org/streamcourse/request/statement/StatementId.java
@@ -1,8 +1,8 @@
 package org.streamcourse.request.statement;
 
 /**
- * Identity that a caller gave to a statement; it goes with the statement to the member and stands
- * in every log line about it.
+ * Identifier that the caller gave to a statement. It is sent to the member with the statement and
+ * contained in every log line about the statement.
  *
  * @param value text without blanks
  */
--- a/server/src/main/java/org/streamcourse/request/statement/package-info.java
+++ b/server/src/main/java/org/streamcourse/request/statement/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Statements of callers and answers of members as the product sees them, whatever protocol carries
- * them.
- */
+/** Statements of callers and answers of members, independent of the protocol that carries them. */
 package org.streamcourse.request.statement;
