--- a/server/src/main/java/org/streamcourse/request/routing/StatementAttempt.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementAttempt.java
@@ -121,7 +121,7 @@
     end();
   }
 
-  /** Ends the attempt; a link in use is returned to its pool once the member answers. */
+  /** Ends the attempt, as another one has the answer; the link is returned once answered. */
   void abandon() {
     if (call != null) {
       call.abandon();
@@ -235,7 +235,7 @@
     private final ReadFloor floor;
     private final long sinceMillis = worker.now();
 
-    /** Pool of the requested link; with the rank it stays fixed when the attempt moves on. */
+    /** Pool of the link, and rank in its queue; both stay fixed when the attempt moves on. */
     private final MemberLinks pool = links;
 
     private final int rank = rank();
--- a/server/src/test/java/org/streamcourse/request/routing/LinkQueueTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/LinkQueueTest.java
@@ -46,6 +46,7 @@
     }
   }
 
+  /** Guards against a refusal at once, because the expected wait may be too high. */
   @Test
   public void aRequestWithATooLongExpectedWaitIsNotRefusedAtOnce() {
     ScriptedService service = afterLongHolds();
--- a/server/src/test/java/org/streamcourse/request/routing/MemberChoiceTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/MemberChoiceTest.java
@@ -94,7 +94,7 @@
         .id();
   }
 
-  /** A tenant prefers one replica, and tenants are spread over both replicas. */
+  /** All nodes prefer the same replica for a tenant, and tenants are spread over both replicas. */
   @Test
   public void readsOfATenantGoToOneReplicaAndTenantsAreSpread() {
     Map<MemberId, Integer> counts = new HashMap<>();
