--- a/lab/src/main/java/org/streamcourse/lab/simulation/Faults.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/Faults.java
@@ -416,7 +416,7 @@
   private static void tellControllers(World world, Set<String> leaving) {
     for (SimController controller : world.controllers().values()) {
       world.after(
-          world.random().nextInt(LIST_LAG_MILLIS), () -> controller.node().platformHeard(leaving));
+          world.random().nextInt(LIST_LAG_MILLIS), () -> controller.node().onPlatformList(leaving));
     }
   }
 
--- a/server/src/main/java/org/streamcourse/connection/admin/StatementRouter.java
+++ b/server/src/main/java/org/streamcourse/connection/admin/StatementRouter.java
@@ -60,12 +60,12 @@
    */
   public void receive(String peer, Object message) {
     if (message instanceof AdminRequest request) {
-      forwarder.forwardedHere(
+      forwarder.executeForwarded(
           request.statement(),
           result -> network.send(peer, new AdminResponse(request.requestId(), result)),
           notRun("the leader has changed"));
     } else if (message instanceof AdminResponse response) {
-      forwarder.answered(response.requestId(), response.result());
+      forwarder.onResponse(response.requestId(), response.result());
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/process/ControllerNode.java
+++ b/server/src/main/java/org/streamcourse/process/ControllerNode.java
@@ -171,8 +171,8 @@
    *
    * @param leaving addresses of the machines that it calls leaving
    */
-  public void platformHeard(Set<String> leaving) {
-    worker.execute(() -> controller.platformHeard(leaving));
+  public void onPlatformList(Set<String> leaving) {
+    worker.execute(() -> controller.onPlatformList(leaving));
   }
 
   /**
--- a/server/src/main/java/org/streamcourse/process/ControllerProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ControllerProcess.java
@@ -74,7 +74,7 @@
             AgreementSettings.DEFAULT,
             ControlSettings.DEFAULT,
             new SecureRandom());
-    platformList = new PlatformList(workers.get(), node::platformHeard);
+    platformList = new PlatformList(workers.get(), node::onPlatformList);
     metrics.gauge(
         "streamcourse_leader",
         "1 while this controller leads.",
--- a/server/src/main/java/org/streamcourse/process/ProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ProxyProcess.java
@@ -222,7 +222,7 @@
   /** Starts all parts. */
   public void start() {
     network.start(settings.links().host(), settings.links().port(), node);
-    node.agent().countSessions(sessions::count);
+    node.agent().setSessionCount(sessions::count);
     node.start();
     callers = new CallerPort(settings.callers(), loops, workers, frontendSettings, sessions);
     metrics.start(settings.metrics());
--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -112,7 +112,7 @@
             self.name(),
             lastStream,
             () -> agent.wasConfirmedWithin(QuotaPlanner.HOLD_MILLIS),
-            agent::tellController);
+            agent::sendToController);
     this.quotas =
         new QuotaClient(
             worker,
@@ -127,9 +127,9 @@
     agent.onImage(table::update);
     agent.onConfirmed(() -> mayServe = true);
     agent.onConfirmed(quotas::confirmed);
-    agent.onStoredImage(() -> mayServe = true);
-    agent.countSessions(sessions::size);
-    agent.beforeHeartbeat(this::reportAllMembers);
+    agent.setStoredImageListener(() -> mayServe = true);
+    agent.setSessionCount(sessions::size);
+    agent.setHeartbeatPreparation(this::reportAllMembers);
   }
 
   /**
@@ -335,7 +335,7 @@
       agent.receive(peer, message);
       return;
     }
-    agent.askForImage(peer);
+    agent.requestImageFrom(peer);
     if (relayed.isForHolder()) {
       relayServer.receive(peer, relayed);
     } else {
--- a/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
@@ -153,7 +153,7 @@
   public void reload(StatementProxySettings changed) {
     LOG.info("settings read again: controllers {}", changed.controllerSeeds());
     node.agent()
-        .learnSeeds(
+        .setSeeds(
             ControllerAddresses.names(changed.controllerSeeds(), changed.controllerLinkPort()));
   }
 
--- a/server/src/main/java/org/streamcourse/process/explain/RequestExplainer.java
+++ b/server/src/main/java/org/streamcourse/process/explain/RequestExplainer.java
@@ -37,7 +37,15 @@
 
   /** Begins of messages about a node's own state, told when the node took part. */
   private static final List<String> OWN_STATE =
-      List.of("confirmed by", "takes a stored image", "proxy ", "stops", "planned stop", "asks ");
+      List.of(
+          "confirmed by",
+          "installs the stored image",
+          "takes a stored image",
+          "proxy ",
+          "stops",
+          "planned stop",
+          "requests the image of",
+          "asks ");
 
   /** Begins of messages about who leads the controllers. */
   private static final List<String> LEADERSHIP =
--- a/server/src/main/java/org/streamcourse/version/control/AdminResult.java
+++ b/server/src/main/java/org/streamcourse/version/control/AdminResult.java
@@ -6,9 +6,9 @@
  * Result of an operator's statement.
  *
  * @param columns column names, empty for a command
- * @param rows rows of texts
- * @param tag what was done, such as {@code ALTER GROUP}
- * @param sqlState error state, empty on success
+ * @param rows result rows, each value as text
+ * @param tag command tag, such as {@code ALTER GROUP}
+ * @param sqlState SQLSTATE of the error, empty on success
  * @param message error text or notice
  */
 public record AdminResult(
@@ -22,7 +22,7 @@
   /**
    * Creates an error.
    *
-   * @param sqlState error state
+   * @param sqlState SQLSTATE of the error
    * @param message text for the operator
    * @return result
    */
--- a/server/src/main/java/org/streamcourse/version/control/AllowancePlanner.java
+++ b/server/src/main/java/org/streamcourse/version/control/AllowancePlanner.java
@@ -11,14 +11,14 @@
 import org.streamcourse.version.image.NodeImage;
 
 /**
- * Places a member's gateways by rendezvous hashing and divides its limits among them.
+ * Chooses a member's gateways by rendezvous hashing and divides the member's limits among them.
  *
- * <p>Invariant: at every version the parts add up to no more than the member's limits, and a part
- * is given only after the node that had it has closed what exceeds its smaller part, or is gone for
- * longer than it may keep connections.
+ * <p>Invariant: at every version the allowances add up to no more than the member's limits. A node
+ * receives an allowance only after the node that had it before has closed the connections above its
+ * smaller allowance, or has been gone for longer than it may keep connections.
  */
 public final class AllowancePlanner {
-  /** Gateways of one member. */
+  /** Most gateways of one member. */
   static final int GATEWAYS_PER_MEMBER = 2;
 
   private static final LongHashFunction HASH = LongHashFunction.xx();
@@ -27,7 +27,8 @@
 
   /**
    * Chooses the gateways of a member: nodes of its zone first, then of its region, among equally
-   * near ones by highest hash. Adding or removing a node moves only the parts that it gains or had.
+   * near ones by highest hash. Adding or removing a node moves only the allowances that this node
+   * gains or loses.
    *
    * @param group group's name
    * @param member the member
@@ -54,12 +55,12 @@
   private record Candidate(NodeImage node, int distance, long weight) {}
 
   /**
-   * Plans the next allowances of a member: first it withdraws parts, then, once the withdrawals are
-   * in force, it gives parts.
+   * Plans the next allowances of a member. Reductions come first; increases follow once all nodes
+   * keep to the reduced allowances.
    *
    * @param member the member with its present allowances
    * @param gateways chosen gateways
-   * @param released tells whether a node keeps no more than its present allowance
+   * @param released tests whether a node has no more connections than its present allowance
    * @return new complete list, or empty when nothing can change now
    */
   public static Optional<List<Allowance>> plan(
@@ -69,9 +70,9 @@
     if (present.equals(target)) {
       return Optional.empty();
     }
-    List<Allowance> withdrawn = withdraw(present, target);
-    if (!withdrawn.equals(present)) {
-      return Optional.of(withdrawn);
+    List<Allowance> reduced = reduce(present, target);
+    if (!reduced.equals(present)) {
+      return Optional.of(reduced);
     }
     if (!present.stream().allMatch(released)) {
       return Optional.empty();
@@ -80,34 +81,40 @@
   }
 
   /**
-   * Tells whether a member's allowances are those that it is to have in the end.
+   * Returns whether a member's allowances are the planned ones, so that no further step follows.
    *
    * @param member the member with its present allowances
    * @param gateways chosen gateways
-   * @return false while parts are still to be withdrawn or given
+   * @return false while allowances still have to be reduced or increased
    */
   static boolean isOnTarget(MemberImage member, List<NodeImage> gateways) {
     return member.allowances().equals(divide(member, gateways));
   }
 
   private static List<Allowance> divide(MemberImage member, List<NodeImage> gateways) {
-    List<Allowance> parts = new ArrayList<>();
+    List<Allowance> allowances = new ArrayList<>();
     int count = gateways.size();
     for (int i = 0; i < count; i++) {
       int connections = part(member.connectionLimit(), count, i);
       int slots = part(member.slotLimit(), count, i);
-      parts.add(new Allowance(gateways.get(i).name(), connections, slots));
+      allowances.add(new Allowance(gateways.get(i).name(), connections, slots));
     }
-    return parts;
+    return allowances;
   }
 
-  /** The i-th of count parts; earlier parts are larger when the total does not divide evenly. */
+  /**
+   * Returns the i-th of count parts of a total; earlier parts are larger when the total does not
+   * divide evenly.
+   */
   private static int part(int total, int count, int i) {
     return total / count + (i < total % count ? 1 : 0);
   }
 
-  /** Present allowances cut down to the target; a node without a target keeps an empty part. */
-  private static List<Allowance> withdraw(List<Allowance> present, List<Allowance> target) {
+  /**
+   * Returns the present allowances reduced to the target; a node without a target keeps an empty
+   * one.
+   */
+  private static List<Allowance> reduce(List<Allowance> present, List<Allowance> target) {
     List<Allowance> result = new ArrayList<>();
     for (Allowance has : present) {
       Allowance gets =
--- a/server/src/main/java/org/streamcourse/version/control/BufferedHeartbeats.java
+++ b/server/src/main/java/org/streamcourse/version/control/BufferedHeartbeats.java
@@ -11,39 +11,39 @@
 import org.streamcourse.version.image.Placement;
 
 /**
- * The heartbeats that a controller hears while it does not lead. After a start of all machines
- * there is no leader yet: a node that has nothing gets what is known here to be agreed, and its
- * heartbeat is answered if this controller is elected.
+ * Buffers the heartbeats that a controller receives while it is not the leader. After all processes
+ * have started at once there is no leader yet: a node without an image receives the image stored at
+ * this controller, and its buffered heartbeat is answered if this controller is elected.
  *
  * <p>All methods run on the controller's worker.
  */
 final class BufferedHeartbeats {
-  /** Time after its start in which a controller tells nodes what it stored. */
+  /** Time after its start in which a controller sends its stored image to nodes. */
   private static final long STORED_IMAGE_MILLIS = 5_000;
 
   /**
-   * Time until the same node is told again, if it still has nothing: it asks each 120 ms, and an
-   * image of tens of kilobytes may take as long to reach it.
+   * Time until the stored image is sent again to a node that still has none. Such a node sends a
+   * heartbeat each 120 ms, and an image of tens of kilobytes may take as long to arrive.
    */
-  private static final long TELL_AGAIN_MILLIS = 400;
+  private static final long RESEND_MILLIS = 400;
 
   /**
-   * Time for which a node of another region is left to the controllers of its own. All controllers
-   * hear a node that has nothing, each 120 ms; six of them would send it six images, four of these
-   * between regions.
+   * Time for which a node of another region is left to the controllers of its own region. Every
+   * controller receives the heartbeats of a node without an image, one each 120 ms; six controllers
+   * would send it six images, four of these between regions.
    */
-  private static final long OWN_REGION_MILLIS = 300;
+  private static final long OTHER_REGION_DELAY_MILLIS = 300;
 
-  private static final int MOST_KEPT = 4_096;
+  private static final int MAX_BUFFERED = 4_096;
 
   private final Worker worker;
   private final PeerNetwork network;
 
-  /** In the order of names, so that a simulated history repeats. */
-  private final Map<String, NodeHeartbeat> kept = new TreeMap<>();
+  /** Sorted by node name, so that a simulation is repeatable. */
+  private final Map<String, NodeHeartbeat> buffered = new TreeMap<>();
 
-  private final Map<String, Long> toldMillis = new TreeMap<>();
-  private final Map<String, Long> heardMillis = new TreeMap<>();
+  private final Map<String, Long> sentMillis = new TreeMap<>();
+  private final Map<String, Long> firstReceivedMillis = new TreeMap<>();
   private Placement placement;
   private long startedMillis;
 
@@ -52,55 +52,57 @@
     this.network = network;
   }
 
-  /** Sets where this controller stands; until then it tells nodes of all regions alike. */
+  /** Sets the placement of this controller; without it, nodes of all regions are treated alike. */
   void setPlacement(Placement value) {
     placement = value;
   }
 
-  /** The controller starts. */
-  void started() {
+  /** Notes the time at which the controller starts. */
+  void onStart() {
     startedMillis = worker.now();
   }
 
-  /** Whether the node has no image yet. */
-  static boolean isOfAStart(NodeHeartbeat heartbeat) {
+  /** Returns whether the sender has no image yet. */
+  static boolean isWithoutImage(NodeHeartbeat heartbeat) {
     return heartbeat.version() == 0;
   }
 
-  /** Keeps a heartbeat, the newest of each node. */
-  void heard(String node, NodeHeartbeat heartbeat, ClusterImage stored) {
-    if (kept.size() < MOST_KEPT) {
-      kept.put(node, heartbeat);
+  /**
+   * Buffers the newest heartbeat of each node, and sends the stored image to a node without one.
+   */
+  void add(String node, NodeHeartbeat heartbeat, ClusterImage stored) {
+    if (buffered.size() < MAX_BUFFERED) {
+      buffered.put(node, heartbeat);
     }
     boolean justStarted = worker.now() - startedMillis < STORED_IMAGE_MILLIS;
     if (justStarted
-        && isOfAStart(heartbeat)
+        && isWithoutImage(heartbeat)
         && stored.document().isPresent()
         && isDue(heartbeat.node())) {
-      toldMillis.put(node, worker.now());
+      sentMillis.put(node, worker.now());
       network.send(node, new StoredImage(stored.forNodes()));
     }
   }
 
   private boolean isDue(NodeImage node) {
     long now = worker.now();
-    Long first = heardMillis.putIfAbsent(node.name(), now);
-    long askedFor = first == null ? 0 : now - first;
-    if (isOfAnotherRegion(node) && askedFor < OWN_REGION_MILLIS) {
+    Long first = firstReceivedMillis.putIfAbsent(node.name(), now);
+    long waited = first == null ? 0 : now - first;
+    if (isOfAnotherRegion(node) && waited < OTHER_REGION_DELAY_MILLIS) {
       return false;
     }
-    Long told = toldMillis.get(node.name());
-    return told == null || now - told >= TELL_AGAIN_MILLIS;
+    Long sent = sentMillis.get(node.name());
+    return sent == null || now - sent >= RESEND_MILLIS;
   }
 
   private boolean isOfAnotherRegion(NodeImage node) {
     return placement != null && !placement.region().equals(node.placement().region());
   }
 
-  /** Forgets and returns the heartbeats by node. */
+  /** Removes and returns the buffered heartbeats by node. */
   Map<String, NodeHeartbeat> take() {
-    Map<String, NodeHeartbeat> taken = new TreeMap<>(kept);
-    kept.clear();
+    Map<String, NodeHeartbeat> taken = new TreeMap<>(buffered);
+    buffered.clear();
     return taken;
   }
 }
--- a/server/src/main/java/org/streamcourse/version/control/ControlMessage.java
+++ b/server/src/main/java/org/streamcourse/version/control/ControlMessage.java
@@ -13,35 +13,36 @@
 /** Messages between controllers, and between controllers and nodes. */
 public sealed interface ControlMessage {
   /**
-   * A message of the agreement, for one identity only.
+   * A message of the agreement protocol, addressed to one identity.
    *
-   * @param toIdentity identity for which it is meant; others drop it
+   * @param toIdentity identity of the receiver; a controller with another identity drops the
+   *     message
    * @param message the message
    */
   record AgreementEnvelope(String toIdentity, AgreementMessage message)
       implements ControlMessage, Envelope {}
 
   /**
-   * A request to be admitted to the agreement, for whoever leads.
+   * A request to join the agreement as a voter, handled by the leader.
    *
    * @param request the request
    */
   record JoinEnvelope(AgreementMessage.JoinRequest request) implements ControlMessage {}
 
   /**
-   * What a gateway knows of one member.
+   * A node's observation of one member.
    *
    * @param group group's name
    * @param member member's name
-   * @param reachable whether the member answers
-   * @param status what it said last
+   * @param reachable whether the member responds
+   * @param status status that the member reported last
    */
   record MemberReport(String group, String member, boolean reachable, MemberStatus status) {
     /**
-     * Compares without the positions, which move on with each write.
+     * Compares two reports without their log positions, which advance with each write.
      *
      * @param other report of the same member
-     * @return whether both tell of the same reachability, term, role and upstream
+     * @return whether reachability, term, role and upstream are the same
      */
     boolean hasSameRole(MemberReport other) {
       return reachable == other.reachable
@@ -52,17 +53,17 @@
   }
 
   /**
-   * A node's sign of life; also its request to be admitted.
+   * A node's heartbeat; also its request for admission.
    *
    * @param node the node itself
    * @param sequence number of this heartbeat
-   * @param version version that the node has in force
-   * @param heldVersion newest version whose allowances the node keeps, after closing what exceeds
-   *     them
-   * @param leaving true once the node wants to stop
-   * @param sessions number of callers' sessions
-   * @param all whether the reports are complete
-   * @param reports members reached through this node: all, or those whose report changed
+   * @param version version of the image that the node has in force
+   * @param heldVersion newest version whose allowances the node adheres to, after closing the
+   *     connections above them
+   * @param leaving true once the node is draining
+   * @param sessions number of client sessions
+   * @param all whether the reports cover all members observed by the node
+   * @param reports reports on members: all of them, or those that changed
    */
   record NodeHeartbeat(
       NodeImage node,
@@ -76,12 +77,13 @@
       implements ControlMessage {}
 
   /**
-   * Answer of a leader that a majority confirmed after the heartbeat arrived.
+   * Reply to a heartbeat, sent by a leader whose leadership a majority confirmed after the
+   * heartbeat arrived.
    *
    * @param sequence copied from the heartbeat
    * @param delta changes since the node's version, or null
    * @param image whole image when the changes are no longer kept, or null
-   * @param reportAll true when the leader wants all reports in the next heartbeat
+   * @param reportAll true when the next heartbeat must contain all reports
    * @param controllers names of all present controllers
    */
   record HeartbeatReply(
@@ -97,7 +99,7 @@
      * @param sequence copied from the heartbeat
      * @param delta changes since the node's version, or null
      * @param image whole image when the changes are no longer kept, or null
-     * @param reportAll true when the leader wants all reports in the next heartbeat
+     * @param reportAll true when the next heartbeat must contain all reports
      */
     public HeartbeatReply(
         long sequence, ClusterDelta delta, ClusterImage image, boolean reportAll) {
@@ -106,57 +108,57 @@
   }
 
   /**
-   * Newly agreed changes, sent to every node at once. A node to which it does not fit asks with its
-   * next heartbeat.
+   * Newly agreed changes, pushed to every node. A node whose version the delta does not start from
+   * receives the changes in reply to its next heartbeat.
    *
    * @param delta the changes
    */
   record ImagePush(ClusterDelta delta) implements ControlMessage {}
 
   /**
-   * Answer of a controller that does not lead.
+   * Reply of a controller that is not the leader.
    *
    * @param leader name of the leader, empty when unknown
    */
   record LeaderHint(String leader) implements ControlMessage {}
 
   /**
-   * What a controller that has just started knows to be agreed; newer versions may have been
-   * agreed.
+   * The image stored at a controller that has just started, or in force at another node; newer
+   * versions may have been agreed.
    *
-   * @param image stored image, as nodes need it
+   * @param image stored image, reduced to what nodes use
    */
   record StoredImage(ClusterImage image) implements ControlMessage {}
 
   /**
-   * A proxy that starts asks another one, which has just spoken to it, for the image in force
-   * there; answered with {@link StoredImage}.
+   * A starting node's request for the image of another node from which it has just received a
+   * message; answered with {@link StoredImage}.
    */
   record ImageRequest() implements ControlMessage {}
 
   /**
-   * What a node needs of one tenant's limit.
+   * A node's demand for a share of one tenant's limit.
    *
    * @param tenant the tenant
-   * @param number number of the newest share that the node knows; 0 for none
-   * @param held operations in a window that it keeps to from now on
-   * @param used operations in the window that ends now, and what their bursts need besides
-   * @param waiting operations that wait
+   * @param number number of the newest share that the node has received; 0 for none
+   * @param held operations in a window that the node limits itself to from now on
+   * @param used operations in the window that ends now, and the headroom for their bursts
+   * @param waiting operations that are queued
    * @param admitted operations admitted since the report before
    * @param refused operations refused since the report before
    */
   record QuotaDemand(
       TenantId tenant, long number, int held, int used, int waiting, int admitted, int refused) {
-    /** Operations that could not run lately. */
+    /** Returns the operations that could not run since the report before. */
     int shortBy() {
       return waiting + refused;
     }
 
     /**
-     * Compares what is needed.
+     * Compares the demands of two reports.
      *
      * @param other another report of the same tenant, or null
-     * @return whether the leader would decide the same
+     * @return whether the leader would decide the same for both
      */
     public boolean needsTheSame(QuotaDemand other) {
       return other != null
@@ -168,12 +170,12 @@
   }
 
   /**
-   * What a node needs of tenants' limits.
+   * A node's demands for shares of tenants' limits.
    *
-   * @param run number of the node's run
-   * @param ageMillis time since the run began
-   * @param complete whether the node needs nothing of other tenants' limits
-   * @param demands what has changed, or all that it needs
+   * @param run number of the node's incarnation
+   * @param ageMillis time since the incarnation began
+   * @param complete whether the node has no demand for tenants that are not listed
+   * @param demands changed demands, or all of them if complete
    */
   record QuotaReport(long run, long ageMillis, boolean complete, List<QuotaDemand> demands)
       implements ControlMessage {}
@@ -182,11 +184,12 @@
    * A node's share of one tenant's limit.
    *
    * @param tenant the tenant
-   * @param number rises with each change
+   * @param number increases with each change of any share
    * @param operations operations in a window
-   * @param inherited part of them that former runs of the node had, and may have used lately
-   * @param ceiling to what the node shall lower it as soon as its window allows
-   * @param exhausted whether asking brings no more
+   * @param inherited part of them that earlier incarnations of the node had, and may have used in
+   *     the present window
+   * @param ceiling value to which the node lowers the share as soon as its window allows
+   * @param exhausted whether the limit has nothing left for this node
    */
   record QuotaShare(
       TenantId tenant,
@@ -197,14 +200,14 @@
       boolean exhausted) {}
 
   /**
-   * A leader's word on shares of tenants' limits.
+   * A node's changed shares of tenants' limits, sent by the leader.
    *
-   * @param run run of the node for which it is meant
-   * @param shares what has changed
+   * @param run incarnation of the node that the shares belong to
+   * @param shares changed shares
    */
   record QuotaNews(long run, List<QuotaShare> shares) implements ControlMessage {}
 
-  /** What a gateway shall do with a member. */
+  /** Kinds of orders to a gateway about a member. */
   enum OrderKind {
     /** Make the member refuse everything of older terms. */
     FENCE,
@@ -214,20 +217,20 @@
     FOLLOW,
     /** Refuse new writes, let open transactions end, then report. */
     HOLD_WRITES,
-    /** Take writes again. */
+    /** Accept writes again. */
     RELEASE_WRITES
   }
 
   /**
-   * A leader's order about a member.
+   * A leader's order to a gateway about a member.
    *
-   * @param orderId number that the result repeats
+   * @param orderId number that the result copies
    * @param group group's name
    * @param member member's name
-   * @param kind what to do
+   * @param kind kind of the order
    * @param term term of the order
    * @param primary name of the term's primary, for {@link OrderKind#FOLLOW}
-   * @param awaited place that the member must have received before the order is carried out
+   * @param awaited log position that the member must have received before the order is carried out
    */
   record MemberOrder(
       long orderId,
@@ -244,22 +247,22 @@
    *
    * @param orderId copied from the order
    * @param done whether it was carried out
-   * @param status what the member said afterwards
-   * @param detail error text when it was not
+   * @param status status that the member reported afterwards
+   * @param detail error text when the order was not carried out
    */
   record MemberOrderResult(long orderId, boolean done, MemberStatus status, String detail)
       implements ControlMessage {}
 
   /**
-   * An operator's statement that a controller passes to the leader.
+   * An operator's statement that a controller forwards to the leader.
    *
-   * @param requestId number that the answer repeats
+   * @param requestId number that the response copies
    * @param statement text of the statement
    */
   record AdminRequest(long requestId, String statement) implements ControlMessage {}
 
   /**
-   * Answer to an {@link AdminRequest}.
+   * Response to an {@link AdminRequest}.
    *
    * @param requestId copied from the request
    * @param result rows or an error
@@ -269,8 +272,9 @@
   /**
    * A command in the replicated log.
    *
-   * @param commandId identifies the command among resends; empty for the leader's own changes
-   * @param expectedVersion configuration version on which the operator based it; -1 for any
+   * @param commandId identifies the command when it is sent again; empty for the leader's own
+   *     changes
+   * @param expectedVersion configuration version that the operator based the change on; -1 for any
    * @param change the change
    */
   record LoggedCommand(String commandId, long expectedVersion, ClusterChange change) {}
@@ -279,7 +283,7 @@
    * Outcome of a logged command.
    *
    * @param status how it ended
-   * @param configurationVersion version after it
+   * @param configurationVersion configuration version after the command
    * @param detail text for the operator
    */
   record CommandOutcome(CommandStatus status, long configurationVersion, String detail) {}
@@ -288,22 +292,22 @@
   enum CommandStatus {
     /** The change is in the agreed configuration. */
     ACCEPTED,
-    /** Another change came first under the expected version. */
+    /** Another change was agreed first, so the expected version is no longer current. */
     CONFLICT,
-    /** The change does not fit the configuration. */
+    /** The change is not valid for the configuration. */
     INVALID
   }
 
   /**
-   * A call from outside that a controller passes to the leader.
+   * An operator's or member's call that a controller forwards to the leader.
    *
-   * @param callId number that the answer repeats
+   * @param callId number that the result copies
    * @param call the call
    */
   record ForwardedCall(long callId, ServiceCall call) implements ControlMessage {}
 
   /**
-   * Answer to a {@link ForwardedCall}.
+   * Result of a {@link ForwardedCall}.
    *
    * @param callId copied from the call
    * @param result outcome
--- a/server/src/main/java/org/streamcourse/version/control/ControlSettings.java
+++ b/server/src/main/java/org/streamcourse/version/control/ControlSettings.java
@@ -6,22 +6,22 @@
  * Timing of the control plane, the same on controllers and nodes.
  *
  * @param heartbeatMillis time between a node's heartbeats
- * @param gatewaySilenceMillis silence after which a gateway's word about a primary counts as gone
- * @param nodeLostMillis silence after which a node is removed
+ * @param gatewaySilenceMillis time without a heartbeat after which a gateway's reports are ignored
+ * @param nodeLostMillis time without a heartbeat after which a node is removed
  * @param confirmationMillis age of the last confirmed heartbeat beyond which a node takes no new
  *     work
- * @param allowanceLapseMillis age of the last confirmed heartbeat beyond which a node gives up its
- *     connections to members, since its parts of their limits may go to other nodes; above
- *     confirmationMillis, and below nodeLostMillis and releaseMillis together by more than it takes
- *     to end connections
- * @param releaseMillis time after its removal until a lost node's connections count as closed
+ * @param allowanceLapseMillis age of the last confirmed heartbeat beyond which a node closes its
+ *     connections to members, since its allowances may be assigned to other nodes; above
+ *     confirmationMillis, and below the sum of nodeLostMillis and releaseMillis by more than the
+ *     time that closing connections takes
+ * @param releaseMillis time after the removal of a lost node until its connections count as closed
  * @param supervisionMillis time between checks of all groups
  * @param orderRetryMillis time after which an unanswered order is sent again
- * @param promotionMillis time that a chosen member has to become primary
- * @param fenceGraceMillis time that a change waits, once a majority is fenced, for the member that
- *     it would rather choose
- * @param holdWritesMillis longest time that a planned change holds writes
- * @param quotas how limits of tenants are counted
+ * @param promotionMillis longest time until a chosen member reports that it is primary
+ * @param fenceGraceMillis time that a change of primary waits, once a majority is fenced, for a
+ *     preferred member to be fenced too
+ * @param holdWritesMillis longest time that a planned change of primary holds writes
+ * @param quotas settings of tenants' limits
  */
 public record ControlSettings(
     long heartbeatMillis,
@@ -53,9 +53,9 @@
           QuotaSettings.DEFAULT);
 
   /**
-   * Changes how limits of tenants are counted.
+   * Replaces the settings of tenants' limits.
    *
-   * @param next how they are counted
+   * @param next new settings of tenants' limits
    * @return changed settings
    */
   public ControlSettings withQuotas(QuotaSettings next) {
--- a/server/src/main/java/org/streamcourse/version/control/ControlTypes.java
+++ b/server/src/main/java/org/streamcourse/version/control/ControlTypes.java
@@ -27,7 +27,7 @@
 import org.streamcourse.version.image.TenantRule;
 import org.streamcourse.version.image.TermPosition;
 
-/** Lists the types that controllers store and send. */
+/** Types that controllers store and send, in the order in which Kryo numbers them. */
 public final class ControlTypes {
   private static final List<Class<?>> OWN =
       List.of(
@@ -109,9 +109,9 @@
   private ControlTypes() {}
 
   /**
-   * Returns all types, those of the agreement first.
+   * Returns all types, those of the agreement protocol first.
    *
-   * @return types in the order that numbers them
+   * @return types in the order of their numbers
    */
   public static List<Class<?>> all() {
     List<Class<?>> types = new ArrayList<>(VoterSetCodec.TYPES);
--- a/server/src/main/java/org/streamcourse/version/control/Controller.java
+++ b/server/src/main/java/org/streamcourse/version/control/Controller.java
@@ -32,13 +32,13 @@
 import reactor.core.Disposable;
 
 /**
- * The leader's work: it admits nodes, gives allowances, supervises groups and takes operators'
- * commands. A controller that does not lead only answers with a hint to the leader.
+ * One controller. As the leader it admits nodes, assigns allowances, supervises groups and carries
+ * out operators' commands; otherwise it answers nodes with a hint to the leader.
  *
  * <p>All methods run on the controller's worker.
  */
 public final class Controller implements PeerHandler, ControllerStateMachine.Listener {
-  /** Expected version of a command that expects none. */
+  /** Expected version of a command that is valid at any version. */
   private static final long ANY_VERSION = -1;
 
   private final Worker worker;
@@ -66,12 +66,12 @@
    * Creates a controller.
    *
    * @param worker worker on which all methods run
-   * @param network way to nodes and other controllers
+   * @param network sends messages to nodes and other controllers
    * @param codec codec that knows the control messages
    * @param agreement this controller's part in the replicated log
    * @param machine state machine of that log
    * @param settings timing
-   * @param agents the outside that is called for self-registering services
+   * @param agents external services that are called for self-registering members
    */
   public Controller(
       Worker worker,
@@ -97,24 +97,25 @@
     this.bufferedHeartbeats = new BufferedHeartbeats(worker, network);
     this.pusher = new ImagePusher(worker, network, agreement, machine);
     this.replies = new HeartbeatReplies(worker, network, agreement, machine);
-    machine.listen(this);
+    machine.setListener(this);
   }
 
   /**
-   * Takes in the platform's list of machines.
+   * Receives the platform's list of machines.
    *
-   * @param leaving addresses of the members and nodes that it calls leaving
+   * @param leaving addresses of the members and nodes that the list marks as leaving
    */
-  public void platformHeard(Set<String> leaving) {
-    platform.heard(leaving);
-    admission.planAgain();
+  public void onPlatformList(Set<String> leaving) {
+    platform.setLeaving(leaving);
+    admission.replan();
     if (agreement.isLeader()) {
       platform.check(machine.image());
     }
   }
 
   /**
-   * Sets where this controller stands, so that nodes get what is large from their own region.
+   * Sets the placement of this controller, so that nodes receive whole images from controllers of
+   * their own region.
    *
    * @param placement region and zone, or null when it is not known; to be set before the start
    */
@@ -122,13 +123,13 @@
     bufferedHeartbeats.setPlacement(placement);
   }
 
-  /** Starts the agreement. */
+  /** Starts the agreement protocol. */
   public void start() {
-    bufferedHeartbeats.started();
+    bufferedHeartbeats.onStart();
     agreement.start();
   }
 
-  /** Stops taking part. */
+  /** Stops supervision and the agreement protocol. */
   public void stop() {
     supervision.dispose();
     agreement.stop();
@@ -174,48 +175,48 @@
    * Counts the nodes that have a version in force.
    *
    * @param version the version
-   * @return number of nodes heard by this leader
+   * @return number of nodes whose heartbeats this leader has received
    */
   public long nodesWithVersion(long version) {
     return registry.countWithVersion(version);
   }
 
   /**
-   * Returns what the leader last heard from a node.
+   * Returns the age of a node's last heartbeat at this leader.
    *
    * @param node node's name
-   * @return milliseconds since its last heartbeat, or empty
+   * @return milliseconds since the last heartbeat, or empty when none was received
    */
-  public Optional<Long> silenceOf(String node) {
-    return registry.state(node).map(state -> worker.now() - state.lastHeardMillis());
+  public Optional<Long> millisSinceHeartbeat(String node) {
+    return registry.state(node).map(state -> worker.now() - state.lastHeartbeatMillis());
   }
 
   /**
    * Returns the number of sessions that a node reported.
    *
    * @param node node's name
-   * @return number, or empty when the node was not heard
+   * @return number, or empty when no heartbeat of the node was received
    */
   public Optional<Integer> sessionsOf(String node) {
     return registry.state(node).map(NodeRegistry.NodeState::sessions);
   }
 
   /**
-   * Returns the leader's knowledge of tenants' limits.
+   * Returns the planner of tenants' shares.
    *
-   * @return planner of shares
+   * @return planner of this controller
    */
   public QuotaPlanner quotas() {
     return quotas;
   }
 
   /**
-   * Finds the freshest report about a member among its present gateways; what a node told that no
-   * longer is one may be out of date.
+   * Finds the freshest report about a member among its present gateways. Reports of former gateways
+   * may be out of date and are left out.
    *
    * @param group group's name
    * @param member member's name
-   * @return report, if a gateway was heard a short while ago
+   * @return report, if a gateway's heartbeat was received recently
    */
   public Optional<ControlMessage.MemberReport> report(String group, String member) {
     return machine
@@ -233,7 +234,7 @@
   }
 
   /**
-   * Takes an operator's change; only for a leader.
+   * Proposes an operator's change; called only at the leader.
    *
    * @param command change with its id and expected version
    * @param answer receives the outcome once it is agreed; never called if the leadership ends first
@@ -249,11 +250,11 @@
   }
 
   /**
-   * Starts a planned change of primary; only for a leader.
+   * Starts a planned change of primary; called only at the leader.
    *
    * @param group group's name
-   * @param target member that shall become primary
-   * @return what is wrong, or nothing
+   * @param target member that is to become primary
+   * @return reason for the refusal, or empty when the change has started
    */
   public Optional<String> switchPrimary(String group, String target) {
     Optional<GroupImage> image = machine.image().group(group);
@@ -266,10 +267,10 @@
   }
 
   /**
-   * Carries out a call from outside; only for a leader.
+   * Carries out an operator's or member's call; called only at the leader.
    *
-   * @param call what is asked
-   * @param answer gets the outcome once it is agreed; never called if the leadership ends first
+   * @param call the call
+   * @param answer receives the outcome once it is agreed; never called if the leadership ends first
    */
   public void call(ServiceCall call, Consumer<ServiceCall.Result> answer) {
     ClusterImage image = machine.image();
@@ -288,7 +289,7 @@
     RoutingDocument document = machine.image().document();
     return document.isPresent()
         ? new ServiceCall.Result(ServiceCall.Status.DONE, document.source())
-        : ServiceCall.Result.unavailable("no document was sent yet");
+        : ServiceCall.Result.unavailable("there is no routing document yet");
   }
 
   // ---- messages ----
@@ -304,32 +305,32 @@
     } else if (message instanceof MemberOrderResult result) {
       onOrderResult(result);
     } else if (message instanceof QuotaReport report && agreement.isLeader()) {
-      quotas.heard(peer, report);
+      quotas.onReport(peer, report);
     }
   }
 
   @Override
   public void linkLost(String peer) {
-    // Heartbeats tell the same; nothing is kept for a link.
+    // No state depends on a peer link: lost nodes are detected by missing heartbeats.
   }
 
   private void onHeartbeat(String peer, NodeHeartbeat heartbeat) {
     if (!agreement.isLeader()) {
       network.send(peer, new LeaderHint(leaderName()));
-      bufferedHeartbeats.heard(peer, heartbeat, machine.image());
+      bufferedHeartbeats.add(peer, heartbeat, machine.image());
       return;
     }
     boolean known = registry.state(peer).map(NodeRegistry.NodeState::isComplete).orElse(false);
     boolean complete = heartbeat.all() || known;
-    if (!registry.heard(heartbeat, worker.now(), complete)) {
+    if (!registry.onHeartbeat(heartbeat, worker.now(), complete)) {
       return;
     }
-    quotas.heartbeat(peer);
-    admission.heard(machine.image(), heartbeat);
-    registry.state(peer).ifPresent(state -> state.groupsWithNews().forEach(this::checkGroup));
+    quotas.onHeartbeat(peer);
+    admission.onHeartbeat(machine.image(), heartbeat);
+    registry.state(peer).ifPresent(state -> state.changedGroups().forEach(this::checkGroup));
     agreement.whenLeadershipConfirmed(
         () -> replies.reply(peer, heartbeat.sequence(), heartbeat.version(), !complete),
-        BufferedHeartbeats.isOfAStart(heartbeat));
+        BufferedHeartbeats.isWithoutImage(heartbeat));
   }
 
   private void checkGroup(String group) {
@@ -402,10 +403,10 @@
     pusher.restart();
     replies.restart();
     supervision.dispose();
-    Map<String, NodeHeartbeat> unanswered = bufferedHeartbeats.take();
+    Map<String, NodeHeartbeat> buffered = bufferedHeartbeats.take();
     if (leads) {
       supervision = worker.repeat(settings.supervisionMillis(), this::supervise);
-      unanswered.forEach(this::onHeartbeat);
+      buffered.forEach(this::onHeartbeat);
     }
   }
 
@@ -453,7 +454,7 @@
     }
 
     @Override
-    public void tell(QuotaHolder holder, List<QuotaShare> shares, boolean confirmed) {
+    public void sendShares(QuotaHolder holder, List<QuotaShare> shares, boolean confirmed) {
       Runnable send = () -> network.send(holder.node(), new QuotaNews(holder.run(), shares));
       if (confirmed) {
         agreement.whenLeadershipConfirmed(send, true);
--- a/server/src/main/java/org/streamcourse/version/control/ControllerStateMachine.java
+++ b/server/src/main/java/org/streamcourse/version/control/ControllerStateMachine.java
@@ -22,15 +22,15 @@
 /**
  * Applies logged commands to the cluster image.
  *
- * <p>A command with an id that was seen before has no effect and gets the first outcome. A command
- * whose expected version is not the current one is refused, so of two commands with equal versions
- * exactly one wins.
+ * <p>A command whose id was applied before has no effect and gets the first outcome. A command
+ * whose expected version is not the current one is refused, so of two commands with the same
+ * expected version exactly one is accepted.
  */
 public final class ControllerStateMachine implements StateMachine {
-  private static final int KEPT_OUTCOMES = 4_096;
-  private static final int KEPT_CHANGES = 2_048;
+  private static final int MAX_OUTCOMES = 4_096;
+  private static final int MAX_CHANGES = 2_048;
 
-  /** Hears what was applied. */
+  /** Receives applied commands and changes of leadership. */
   public interface Listener {
     /**
      * A command was applied.
@@ -43,18 +43,18 @@
     /**
      * Leadership began or ended.
      *
-     * @param leads true when it began
-     * @param term agreement term
+     * @param leads true when this controller became the leader
+     * @param term agreement term, 0 when the leadership ended
      */
     void leadershipChanged(boolean leads, long term);
   }
 
   /**
-   * Stored form of the state.
+   * Snapshot form of the state.
    *
    * @param image cluster image
-   * @param commandIds ids of remembered commands, oldest first
-   * @param outcomes their outcomes
+   * @param commandIds ids of the commands whose outcomes are kept, oldest first
+   * @param outcomes outcomes of these commands
    * @param quotas shares of tenants' limits
    */
   public record StoredState(
@@ -88,11 +88,11 @@
   }
 
   /**
-   * Sets who hears what was applied.
+   * Sets the listener for applied commands and changes of leadership.
    *
    * @param listener the listener
    */
-  public void listen(Listener listener) {
+  public void setListener(Listener listener) {
     this.listener = listener;
   }
 
@@ -110,7 +110,7 @@
     return quotas;
   }
 
-  /** Returns the shares that the command applied last has changed. */
+  /** Returns the shares changed by the command that was applied last. */
   List<QuotaGrant> newGrants() {
     return newGrants;
   }
@@ -119,7 +119,7 @@
    * Finds the outcome of an earlier command.
    *
    * @param commandId command's id
-   * @return outcome if it is remembered
+   * @return outcome, if it is still kept
    */
   public Optional<CommandOutcome> outcome(String commandId) {
     return Optional.ofNullable(outcomes.get(commandId));
@@ -128,8 +128,8 @@
   /**
    * Returns the changes since a version.
    *
-   * @param version version to start from
-   * @return delta, or empty when that is too long ago
+   * @param version version that the delta starts from
+   * @return delta, or empty when the changes are no longer kept
    */
   public Optional<ClusterDelta> deltaSince(long version) {
     long missing = image.version() - version;
@@ -155,7 +155,7 @@
     }
     if (known == null && !logged.commandId().isEmpty()) {
       outcomes.put(logged.commandId(), outcome);
-      if (outcomes.size() > KEPT_OUTCOMES) {
+      if (outcomes.size() > MAX_OUTCOMES) {
         outcomes.remove(outcomes.keySet().iterator().next());
       }
     }
@@ -180,7 +180,7 @@
 
   private void remember(ClusterChange change) {
     recentChanges.addLast(change);
-    if (recentChanges.size() > KEPT_CHANGES) {
+    if (recentChanges.size() > MAX_CHANGES) {
       recentChanges.removeFirst();
     }
   }
--- a/server/src/main/java/org/streamcourse/version/control/Decision.java
+++ b/server/src/main/java/org/streamcourse/version/control/Decision.java
@@ -1,14 +1,14 @@
 package org.streamcourse.version.control;
 
 /**
- * One decision of the system, for operators.
+ * One decision of the controllers, for operators.
  *
- * @param atMillis worker time at which it was taken
+ * @param atMillis worker time in milliseconds at which the decision was taken
  * @param kind what was decided
  * @param subject group, member or node concerned
- * @param cause why
- * @param inputs what was known
- * @param outcome what follows
+ * @param cause reason for the decision
+ * @param inputs state that the decision was based on
+ * @param outcome action that follows
  */
 public record Decision(
     long atMillis, Kind kind, String subject, String cause, String inputs, String outcome) {
@@ -18,23 +18,23 @@
     PRIMARY_CHANGE_STARTED,
     /** A primary was chosen. */
     PRIMARY_CHOSEN,
-    /** A planned change of primary was given up. */
+    /** A planned change of primary was abandoned. */
     SWITCHOVER_ABANDONED,
     /** A node was admitted. */
     NODE_ADMITTED,
     /** A node was declared lost or has left. */
     NODE_REMOVED,
-    /** Parts of a member's limits were given or withdrawn. */
+    /** The allowances of a member's gateways were changed. */
     ALLOWANCES_SET,
-    /** A member was drained on the word of the platform. */
+    /** A member was drained because the platform lists it as leaving. */
     PLATFORM_LEAVING,
     /** An operator's command was accepted or refused. */
     COMMAND,
-    /** A routing document was taken or refused. */
+    /** A routing document was proposed or refused. */
     DOCUMENT,
-    /** A member registered itself, began to leave or was removed. */
+    /** A member registered itself, started draining or was removed. */
     MEMBER,
-    /** The outside agent answered an order to make a member primary. */
+    /** The promotion agent answered an order to make a member primary. */
     PROMOTION
   }
 }
--- a/server/src/main/java/org/streamcourse/version/control/DecisionHistory.java
+++ b/server/src/main/java/org/streamcourse/version/control/DecisionHistory.java
@@ -7,10 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The newest decisions, also written to the log as they are taken. */
+/** Keeps the newest decisions, and writes each one to the log. */
 public final class DecisionHistory {
   private static final Logger LOG = LoggerFactory.getLogger(DecisionHistory.class);
-  private static final int KEPT = 1_000;
+  private static final int MAX_DECISIONS = 1_000;
 
   private final Deque<Decision> decisions = new ArrayDeque<>();
 
@@ -21,7 +21,7 @@
    */
   public void record(Decision decision) {
     decisions.addLast(decision);
-    if (decisions.size() > KEPT) {
+    if (decisions.size() > MAX_DECISIONS) {
       decisions.removeFirst();
     }
     LOG.info(
--- a/server/src/main/java/org/streamcourse/version/control/FencedMembers.java
+++ b/server/src/main/java/org/streamcourse/version/control/FencedMembers.java
@@ -9,12 +9,12 @@
 
 /**
  * Members of a group that confirmed a fence at one term, with the ends of their logs. A fenced
- * member takes nothing more of older terms, so an end that was told stays.
+ * member accepts no more records of older terms, so the reported end of its log does not change.
  */
 final class FencedMembers {
   private final long term;
   private final Map<String, TermPosition> ends = new TreeMap<>();
-  private long majorityAt;
+  private long majorityAtMillis;
 
   FencedMembers(long term) {
     this.term = term;
@@ -26,7 +26,7 @@
 
   void add(GroupImage image, String member, TermPosition end, long now) {
     if (!isMajority(image)) {
-      majorityAt = now;
+      majorityAtMillis = now;
     }
     ends.put(member, end);
   }
@@ -43,16 +43,17 @@
     return ends.size() == image.members().size();
   }
 
-  /** When the last member that a majority needed was fenced. */
-  long majorityAt() {
-    return majorityAt;
+  /** Time in milliseconds at which the fenced members became a majority. */
+  long majorityAtMillis() {
+    return majorityAtMillis;
   }
 
   /**
-   * The member to choose among those whose log ends latest; no other may be chosen, since only
-   * theirs is sure to hold every acknowledged commit.
+   * Returns the member to choose among those whose log ends latest. No other member may be chosen,
+   * since only these logs certainly contain every acknowledged commit.
    *
-   * @param preferred name to take if it is among them, else one that is not draining
+   * @param preferred member that is chosen if it is among them; otherwise a member that is not
+   *     draining comes first
    */
   String best(GroupImage image, String preferred) {
     TermPosition latest = ends.values().stream().max(Comparator.naturalOrder()).orElseThrow();
--- a/server/src/main/java/org/streamcourse/version/control/GatewayChooser.java
+++ b/server/src/main/java/org/streamcourse/version/control/GatewayChooser.java
@@ -9,9 +9,9 @@
 import org.streamcourse.version.image.NodeImage;
 
 /**
- * Remembers the gateways of each member for as long as the nodes that may be gateways stay the
- * same, and looks for them in the member's own zone or region first. At full size a plan covers
- * 2,910 members and 670 nodes, and must not hash each pair at each version.
+ * Chooses the gateways of members and caches the result until the set of candidate nodes changes.
+ * Nodes of the member's own zone or region are considered first. A fleet of full size has 2,910
+ * members and 670 nodes, so hashing each pair at each version would be too expensive.
  */
 final class GatewayChooser {
   private final Map<String, List<NodeImage>> chosen = new HashMap<>();
@@ -20,11 +20,11 @@
   private List<NodeImage> candidates = List.of();
 
   /**
-   * Takes the nodes that may be gateways now.
+   * Sets the candidate nodes.
    *
-   * @param nodes all of them
+   * @param nodes all nodes that may be gateways
    */
-  void use(List<NodeImage> nodes) {
+  void setCandidates(List<NodeImage> nodes) {
     if (nodes.equals(candidates)) {
       return;
     }
@@ -39,7 +39,8 @@
   }
 
   /**
-   * Chooses the gateways of a member, as {@link AllowancePlanner#chooseGateways} does among all.
+   * Chooses the gateways of a member, with the result that {@link AllowancePlanner#chooseGateways}
+   * gives for all candidates.
    *
    * @param group group's name
    * @param member the member
@@ -51,7 +52,10 @@
         key, any -> AllowancePlanner.chooseGateways(group, member, nearest(member)));
   }
 
-  /** The smallest set of near nodes that holds enough gateways. */
+  /**
+   * Returns the candidates of the member's zone, its region or the fleet: the first of these with
+   * enough nodes.
+   */
   private List<NodeImage> nearest(MemberImage member) {
     List<NodeImage> zone = byZone.getOrDefault(member.placement().zone(), List.of());
     if (zone.size() >= AllowancePlanner.GATEWAYS_PER_MEMBER) {
--- a/server/src/main/java/org/streamcourse/version/control/GroupSupervisor.java
+++ b/server/src/main/java/org/streamcourse/version/control/GroupSupervisor.java
@@ -9,19 +9,20 @@
 import org.streamcourse.version.image.MemberImage;
 
 /**
- * Watches one group for the leader and changes its primary.
+ * Supervises one group at the leader and changes the group's primary.
  *
- * <p>A change runs in steps: open a term in the replicated log; fence a majority of the members at
- * that term; choose among the fenced the one whose log ends latest; name it in the log; promote it.
- * An acknowledged commit was received by a majority under its term, majorities meet, and a fenced
- * member takes nothing more of older terms; so the chosen log holds every acknowledged commit.
+ * <p>A change has these steps: open a term in the replicated log; fence a majority of the members
+ * at that term; choose the fenced member whose log ends latest; record this choice in the
+ * replicated log; promote the member. An acknowledged commit was received by a majority under its
+ * term, any two majorities have a member in common, and a fenced member accepts no more records of
+ * older terms; so the chosen member's log contains every acknowledged commit.
  *
- * <p>All state here may be lost with the leadership: the next leader finds the opened term in the
- * image and fences again. Promotion is not a step of its own but what the supervisor always does:
- * it compares each member's report with the image and orders what differs.
+ * <p>All state of the supervisor may be lost with the leadership: the next leader finds the opened
+ * term in the image and fences again. Promotion needs no state either: the supervisor always
+ * compares each member's report with the image and sends an order where they differ.
  */
 final class GroupSupervisor {
-  /** What a supervisor needs from its controller. */
+  /** Actions of the controller that supervisors and node admission use. */
   interface Actions {
     long now();
 
@@ -44,7 +45,7 @@
   private long choiceProposedForTerm;
   private long watchedSince;
   private long watchedTerm = -1;
-  private long nextHandOverAt;
+  private long nextHandOverMillis;
   private Switchover switchover;
 
   GroupSupervisor(String group, ControlSettings settings, NodeRegistry registry, Actions actions) {
@@ -56,24 +57,24 @@
     this.watchedSince = actions.now();
   }
 
-  /** Whether a change of primary is under way, so that steps may be due soon. */
+  /** Returns whether a change of primary is in progress, so that steps may be due soon. */
   boolean isChanging(GroupImage image) {
     return image.primary().isEmpty() || switchover != null || watchedTerm != image.term();
   }
 
-  /** Looks at the group and takes the next step, if any. */
+  /** Checks the group and takes the next step, if any. */
   void check(GroupImage image) {
     if (watchedTerm != image.term()) {
       watchedTerm = image.term();
       watchedSince = actions.now();
-      orders.forget();
+      orders.clear();
     }
     if (image.primary().isEmpty()) {
       changePrimary(image);
       return;
     }
     if (switchover == null) {
-      leaveDrainingPrimary(image);
+      handOverFromDrainingPrimary(image);
     }
     if (switchover != null) {
       advanceSwitchover(image);
@@ -82,14 +83,14 @@
       openTerm(image, "primary " + image.primary() + " is not reachable");
       return;
     }
-    if (proposedTerm <= image.term() && switchover == null && isFencedAhead(image)) {
-      openTerm(image, "a leader before this one has fenced members for a planned change");
+    if (proposedTerm <= image.term() && switchover == null && hasFencesOfLaterTerm(image)) {
+      openTerm(image, "a previous leader has fenced members for a planned change");
       return;
     }
     alignMembers(image);
   }
 
-  /** Starts a planned change; returns what is wrong, or nothing. */
+  /** Starts a planned change; returns the reason for a refusal, or empty. */
   Optional<String> startSwitchover(GroupImage image, String target) {
     Optional<MemberImage> member = image.member(target);
     if (member.isEmpty()) {
@@ -99,13 +100,13 @@
       return Optional.of("member '" + target + "' is draining: restore it first");
     }
     if (image.primary().isEmpty() || switchover != null) {
-      return Optional.of("a change of primary of group '" + group + "' is under way");
+      return Optional.of("a change of primary of group '" + group + "' is in progress");
     }
     if (image.primary().equals(target)) {
-      return Optional.of("member '" + target + "' is primary already");
+      return Optional.of("member '" + target + "' is already the primary");
     }
     if (!reachable(member.get())) {
-      return Optional.of("member '" + target + "' does not answer");
+      return Optional.of("member '" + target + "' is not reachable");
     }
     beginSwitchover(image, target, "operator");
     return Optional.empty();
@@ -121,22 +122,25 @@
         "writes are held");
   }
 
-  /** Hands over from a draining member, which is chosen only when no other holds the latest log. */
-  private void leaveDrainingPrimary(GroupImage image) {
+  /**
+   * Starts a planned change if the primary is draining. A draining member becomes primary only when
+   * no other member has the latest log.
+   */
+  private void handOverFromDrainingPrimary(GroupImage image) {
     if (image.primaryMember().map(MemberImage::draining).orElse(false)) {
       handOver(image, "the primary is draining");
     }
   }
 
   /**
-   * Starts a planned change to any member that may take over, unless one is under way or was tried
-   * a moment ago.
+   * Starts a planned change to the first reachable member that is not draining, unless a change is
+   * in progress or was tried within {@link ControlSettings#holdWritesMillis()}.
    */
   void handOver(GroupImage image, String cause) {
-    if (switchover != null || actions.now() < nextHandOverAt) {
+    if (switchover != null || actions.now() < nextHandOverMillis) {
       return;
     }
-    nextHandOverAt = actions.now() + settings.holdWritesMillis();
+    nextHandOverMillis = actions.now() + settings.holdWritesMillis();
     image.members().stream()
         .filter(each -> !each.draining() && !each.name().equals(image.primary()))
         .filter(this::reachable)
@@ -144,25 +148,25 @@
         .ifPresent(each -> beginSwitchover(image, each.name(), cause));
   }
 
-  /** Whether an order with this number was sent and not yet answered. */
+  /** Returns whether an order with this number has no result yet. */
   boolean awaits(long orderId) {
     return orders.awaits(orderId);
   }
 
-  /** Takes in the outcome of an order; what the member said with it counts as its own word. */
+  /** Handles the result of an order; the status in it counts as a report by the member itself. */
   void orderResult(GroupImage image, MemberOrderResult result) {
-    MemberOrders.Sent order = orders.answered(result.orderId()).orElse(null);
+    MemberOrders.Sent order = orders.removeAnswered(result.orderId()).orElse(null);
     if (order == null || !result.done()) {
       return;
     }
-    registry.answered(
+    registry.onOrderAnswer(
         order.gateway(),
         new MemberReport(group, order.member(), true, result.status()),
         actions.now());
     if (order.kind() == OrderKind.FENCE) {
       fenceConfirmed(image, order, result.status());
     } else if (order.kind() == OrderKind.HOLD_WRITES && switchover != null) {
-      switchover.held(order.gateway(), result.status().received());
+      switchover.onWritesHeld(order.gateway(), result.status().received());
       advanceSwitchover(image);
     }
   }
@@ -177,14 +181,16 @@
       chooseWhenReady(image);
     } else if (switchover != null && order.term() == switchover.nextTerm()) {
       switchover
-          .fenced(image, order.member(), status.received(), actions.now())
-          .ifPresent(this::handOverTo);
+          .onFenced(image, order.member(), status.received(), actions.now())
+          .ifPresent(this::proposeHandOver);
       advanceSwitchover(image);
     }
   }
 
-  /** Forgets how long the present primary was watched, as after a change of leader. */
-  void restartWatch() {
+  /**
+   * Restarts the time for which the present primary has been watched, as after a change of leader.
+   */
+  void restartWatching() {
     watchedSince = actions.now();
   }
 
@@ -198,7 +204,7 @@
     long watchedFor = actions.now() - watchedSince;
     Optional<MemberReport> report = freshReport(primary);
     if (report.isEmpty()) {
-      // Mere absence of reports counts only after a while; a reported loss counts at once.
+      // Missing reports count as a failure only after a while; a report of a loss counts at once.
       return watchedFor >= settings.gatewaySilenceMillis();
     }
     if (!report.get().reachable()) {
@@ -207,8 +213,8 @@
     boolean tookOver =
         report.get().status().term() == image.term()
             && report.get().status().role() == MemberRole.PRIMARY;
-    // Once a planned change fences, the primary is no primary any more, and the change has a limit
-    // of its own.
+    // After a planned change has started to fence, the primary may report that it is fenced; the
+    // planned change has a time limit of its own.
     boolean deposed = switchover != null && switchover.isFencing();
     return !tookOver && !deposed && watchedFor > settings.promotionMillis();
   }
@@ -241,7 +247,7 @@
   private void changePrimary(GroupImage image) {
     if (image.term() == 0) {
       if (proposedTerm == 0 && majorityReachable(image)) {
-        openTerm(image, "group has no primary yet");
+        openTerm(image, "the group has no primary yet");
       }
       return;
     }
@@ -259,7 +265,9 @@
     }
   }
 
-  /** Chooses once a majority is fenced, after a short wait for a member that suits better. */
+  /**
+   * Chooses once a majority is fenced, after a short wait for a preferred member to be fenced too.
+   */
   private void chooseWhenReady(GroupImage image) {
     if (!fenced.isMajority(image) || choiceProposedForTerm == image.term()) {
       return;
@@ -267,14 +275,17 @@
     String candidate = fenced.best(image, switchover == null ? "" : switchover.target());
     boolean graceOver =
         fenced.isComplete(image)
-            || actions.now() - fenced.majorityAt() >= settings.fenceGraceMillis();
-    if (graceOver || suits(image, candidate)) {
+            || actions.now() - fenced.majorityAtMillis() >= settings.fenceGraceMillis();
+    if (graceOver || isPreferred(image, candidate)) {
       choose(image, candidate);
     }
   }
 
-  /** Whether a candidate needs no wait: the target of a planned change, or else not draining. */
-  private boolean suits(GroupImage image, String candidate) {
+  /**
+   * Returns whether a candidate is chosen without a wait: the target of a planned change, or
+   * without such a target a member that is not draining.
+   */
+  private boolean isPreferred(GroupImage image, String candidate) {
     return switchover == null
         ? !FencedMembers.isDraining(image, candidate)
         : candidate.equals(switchover.target());
@@ -305,15 +316,17 @@
     } else if (!switchover.isFencing()) {
       abandonSwitchover(image, obstacle);
     } else if (proposedTerm <= image.term()) {
-      // Fences can't be taken back, so the change goes on as an unplanned one.
+      // Fences can't be undone, so the change continues as an unplanned one.
       openTerm(image, obstacle);
     }
   }
 
-  /** What keeps a planned change from going on; empty when nothing does. */
+  /** Returns the reason why a planned change can't continue; empty when there is none. */
   private String obstacle(GroupImage image) {
-    if (actions.now() - switchover.startedAt() > settings.holdWritesMillis()) {
-      return "open transactions or the replica did not finish in time";
+    if (actions.now() - switchover.startedAtMillis() > settings.holdWritesMillis()) {
+      return "open transactions or the replica did not finish within "
+          + settings.holdWritesMillis()
+          + " ms";
     }
     boolean targetReachable = image.member(switchover.target()).map(this::reachable).orElse(false);
     return targetReachable ? "" : "member " + switchover.target() + " is not reachable";
@@ -333,7 +346,7 @@
             primary -> orders.toEachGateway(primary, OrderKind.RELEASE_WRITES, image.term()));
   }
 
-  private void handOverTo(String chosen) {
+  private void proposeHandOver(String chosen) {
     actions.decided(
         Decision.Kind.PRIMARY_CHOSEN,
         group,
@@ -344,10 +357,10 @@
   }
 
   /**
-   * Whether members refuse the present term, though the image knows no later one: a leader that is
-   * gone has begun a planned change.
+   * Returns whether members are fenced at a later term than the image's: a previous leader has
+   * started a planned change.
    */
-  private boolean isFencedAhead(GroupImage image) {
+  private boolean hasFencesOfLaterTerm(GroupImage image) {
     return image.members().stream()
         .flatMap(member -> freshReport(member).stream())
         .anyMatch(report -> report.reachable() && report.status().term() > image.term());
@@ -355,7 +368,7 @@
 
   // ---- roles ----
 
-  /** Orders what makes each reachable member's state equal to the image. */
+  /** Sends orders to each reachable member whose state differs from the image. */
   private void alignMembers(GroupImage image) {
     for (MemberImage member : image.members()) {
       MemberReport report = freshReport(member).orElse(null);
--- a/server/src/main/java/org/streamcourse/version/control/GroupSupervisors.java
+++ b/server/src/main/java/org/streamcourse/version/control/GroupSupervisors.java
@@ -8,15 +8,15 @@
 import org.streamcourse.version.image.GroupImage;
 
 /**
- * The supervisors of all groups. A group under change is looked at each time, the others, which
- * only look for silence, in turn.
+ * The supervisors of all groups. A group whose primary is being changed is checked each time; the
+ * other groups, which are only checked for an unreachable primary, take turns.
  */
 final class GroupSupervisors {
-  /** Checks of groups under change for each check of the others. */
-  private static final int QUIET_GROUPS_EVERY = 5;
+  /** Number of calls within which every group without a change in progress is checked once. */
+  private static final int STABLE_GROUPS_EVERY = 5;
 
-  /** Time between two checks beyond which the leader itself was late. */
-  private static final long LATE_MILLIS = 500;
+  /** Time between two checks above which the leader itself was delayed. */
+  private static final long DELAYED_MILLIS = 500;
 
   private final Function<String, GroupSupervisor> create;
   private final Map<String, GroupSupervisor> supervisors = new TreeMap<>();
@@ -35,31 +35,32 @@
     of(group.name()).check(group);
   }
 
-  /** Looks at the groups that are due. */
+  /** Checks the groups that are due. */
   void checkDue(ClusterImage image, long now) {
-    forgiveOwnLateness(now);
+    restartWatchesAfterDelay(now);
     supervisors.keySet().retainAll(image.groups().keySet());
-    turn = (turn + 1) % QUIET_GROUPS_EVERY;
+    turn = (turn + 1) % STABLE_GROUPS_EVERY;
     int number = 0;
     for (GroupImage group : image.groups().values()) {
       number++;
-      if (of(group.name()).isChanging(group) || number % QUIET_GROUPS_EVERY == turn) {
+      if (of(group.name()).isChanging(group) || number % STABLE_GROUPS_EVERY == turn) {
         check(group);
       }
     }
   }
 
   /**
-   * A leader that was late itself has heard nobody meanwhile and must not take that for silence.
+   * Restarts the watches after a delay of the leader itself: it processed no heartbeats meanwhile,
+   * so their absence does not show that gateways or members are unreachable.
    */
-  private void forgiveOwnLateness(long now) {
-    if (now - lastCheckMillis > LATE_MILLIS) {
-      supervisors.values().forEach(GroupSupervisor::restartWatch);
+  private void restartWatchesAfterDelay(long now) {
+    if (now - lastCheckMillis > DELAYED_MILLIS) {
+      supervisors.values().forEach(GroupSupervisor::restartWatching);
     }
     lastCheckMillis = now;
   }
 
-  /** Brings the result of an order to the supervisor that awaits it. */
+  /** Passes the result of an order to the supervisor that sent the order. */
   void orderResult(ClusterImage image, MemberOrderResult result) {
     for (Map.Entry<String, GroupSupervisor> each : supervisors.entrySet()) {
       if (each.getValue().awaits(result.orderId())) {
@@ -69,7 +70,7 @@
     }
   }
 
-  /** Forgets everything, as a leadership begins or ends. */
+  /** Discards all supervisors when a leadership begins or ends. */
   void restart(long now) {
     supervisors.clear();
     lastCheckMillis = now;
--- a/server/src/main/java/org/streamcourse/version/control/HeartbeatReplies.java
+++ b/server/src/main/java/org/streamcourse/version/control/HeartbeatReplies.java
@@ -13,20 +13,20 @@
 import org.streamcourse.version.image.ClusterImage;
 
 /**
- * A leader's answers to heartbeats, with what the node lacks: the changes since its version, or the
- * whole image where that is shorter or the changes are no longer kept.
+ * A leader's replies to heartbeats. A reply brings the node up to date: with the changes since its
+ * version, or with the whole image where that is smaller or the changes are no longer kept.
  *
  * <p>All methods run on the controller's worker.
  */
 final class HeartbeatReplies {
   /**
-   * Time until a node that still has nothing gets the whole image again. It asks each 120 ms, and
-   * on a busy machine the image needs longer than that; what it asked meanwhile stays unanswered,
-   * so no heartbeat is confirmed that the image does not come with.
+   * Time until the whole image is sent again to a node that still has none. Such a node sends a
+   * heartbeat each 120 ms, and on a busy machine the image needs longer than that. Its heartbeats
+   * in the meantime are not answered, so no heartbeat is confirmed before the image has arrived.
    */
-  private static final long WHOLE_AGAIN_MILLIS = 400;
+  private static final long IMAGE_RESEND_MILLIS = 400;
 
-  /** A whole image that was sent. */
+  /** A whole image that was sent: number of the heartbeat that it answers, and time of sending. */
   private record Sent(long sequence, long atMillis) {}
 
   private final Worker worker;
@@ -43,19 +43,21 @@
     this.machine = machine;
   }
 
-  /** Forgets everything, as a leadership begins or ends. */
+  /** Forgets the sent images when a leadership begins or ends. */
   void restart() {
     wholeImages.clear();
   }
 
-  /** Answers a heartbeat after which a majority has confirmed the leadership. */
+  /**
+   * Replies to a heartbeat; called once a majority has confirmed the leadership after its arrival.
+   */
   void reply(String node, long sequence, long version, boolean reportAll) {
     ClusterImage image = machine.image();
     Optional<ClusterDelta> delta =
         image.isLargerThan(image.version() - version)
             ? machine.deltaSince(version).map(ClusterDelta::forNodes)
             : Optional.empty();
-    if (delta.isEmpty() && !takeTurn(node, sequence)) {
+    if (delta.isEmpty() && !maySendImage(node, sequence)) {
       return;
     }
     ClusterImage whole = delta.isPresent() ? null : image.forNodes();
@@ -64,16 +66,19 @@
         new HeartbeatReply(sequence, delta.orElse(null), whole, reportAll, controllerNames()));
   }
 
-  /** Whether the whole image may be sent now; a node that counts anew has started again. */
-  private boolean takeTurn(String node, long sequence) {
+  /**
+   * Returns whether the whole image may be sent now. A lower sequence number than before shows that
+   * the node has restarted and needs the image at once.
+   */
+  private boolean maySendImage(String node, long sequence) {
     long now = worker.now();
     Sent last = wholeImages.get(node);
-    boolean onItsWay =
-        last != null && sequence > last.sequence() && now - last.atMillis() < WHOLE_AGAIN_MILLIS;
-    if (!onItsWay) {
+    boolean inFlight =
+        last != null && sequence > last.sequence() && now - last.atMillis() < IMAGE_RESEND_MILLIS;
+    if (!inFlight) {
       wholeImages.put(node, new Sent(sequence, now));
     }
-    return !onItsWay;
+    return !inFlight;
   }
 
   private List<String> controllerNames() {
--- a/server/src/main/java/org/streamcourse/version/control/ImagePusher.java
+++ b/server/src/main/java/org/streamcourse/version/control/ImagePusher.java
@@ -7,9 +7,9 @@
 import org.streamcourse.version.image.ClusterDelta;
 
 /**
- * Sends what changed to all nodes: at once after a quiet time, and at most once in {@link
- * #PUSH_MILLIS} while many changes follow each other. A node that misses a push hears the same in
- * the answer to its next heartbeat.
+ * Pushes agreed changes to all nodes: at once if the last push is at least {@link #PUSH_MILLIS}
+ * ago, otherwise together with the changes that follow within this time. A node that misses a push
+ * receives the changes in the reply to its next heartbeat.
  */
 final class ImagePusher {
   private static final long PUSH_MILLIS = 20;
@@ -30,12 +30,14 @@
     this.machine = machine;
   }
 
-  /** A leadership begins or ends; what was agreed before is not pushed. */
+  /** Called when a leadership begins or ends; changes agreed before are not pushed. */
   void restart() {
     pushedVersion = machine.image().version();
   }
 
-  /** Something was agreed. */
+  /**
+   * Called after a change of the image was agreed; pushes it now or within {@link #PUSH_MILLIS}.
+   */
   void push() {
     long wait = lastPushMillis + PUSH_MILLIS - worker.now();
     if (pushScheduled) {
--- a/server/src/main/java/org/streamcourse/version/control/ImageStore.java
+++ b/server/src/main/java/org/streamcourse/version/control/ImageStore.java
@@ -8,12 +8,12 @@
 import org.streamcourse.version.image.ClusterImage;
 
 /**
- * A node's memory of the newest image: a whole image and the deltas that followed it, so that a
- * version costs the bytes of its changes and not those of the image. The whole image is written
- * anew when the deltas have grown as large as it is.
+ * Stores a node's newest image on disk: a whole image and the deltas that followed it, so that
+ * storing a version writes the bytes of its changes and not those of the image. The whole image is
+ * written again when the deltas have become as large as the image.
  *
- * <p>Invariant: what was stored is found again, or something newer; a crash between writing the
- * whole image and deleting the deltas leaves deltas that are too old, which are skipped.
+ * <p>Invariant: loading returns the version stored last. A crash between writing the whole image
+ * and deleting the deltas leaves deltas of older versions, which are skipped.
  */
 final class ImageStore {
   private static final String IMAGE_FILE = "image";
@@ -36,7 +36,10 @@
     this.codec = codec;
   }
 
-  /** Reads the newest image; a torn last delta is dropped, since it never came into force. */
+  /**
+   * Loads the newest image. A partially written last delta is dropped, since it never came into
+   * force.
+   */
   ClusterImage load() {
     byte[] whole = disk.read(IMAGE_FILE);
     ClusterImage image = whole == null ? ClusterImage.EMPTY : (ClusterImage) codec.decode(whole);
@@ -67,7 +70,7 @@
     deltaBytes = 0;
   }
 
-  /** Stores what leads from the image stored last to the next one. */
+  /** Stores the delta from the image stored last to the next one. */
   void save(ClusterDelta delta, ClusterImage next) {
     if (!disk.keeps()) {
       return;
--- a/server/src/main/java/org/streamcourse/version/control/LeaderForwarder.java
+++ b/server/src/main/java/org/streamcourse/version/control/LeaderForwarder.java
@@ -7,25 +7,26 @@
 import org.streamcourse.process.Worker;
 
 /**
- * Brings a question to the leader, from whichever controller it reached: it is carried out here
- * when this controller leads, else sent to the leader, whose answer is brought back.
+ * Executes requests at the leader, whichever controller received them: a request is executed here
+ * when this controller is the leader, and otherwise forwarded to the leader, whose response is
+ * passed back.
  *
  * <p>All methods but {@link #execute} run on the controller's worker.
  *
- * @param <Q> question
- * @param <R> answer
+ * @param <Q> type of requests
+ * @param <R> type of responses
  */
 public final class LeaderForwarder<Q, R> {
-  /** Sends a question to the leader. */
+  /** Forwards a request to the leader. */
   public interface Sender<Q> {
     /**
-     * Sends it.
+     * Forwards a request.
      *
      * @param leader leader's name
-     * @param id number that the answer repeats
-     * @param question what is asked
+     * @param id number that the response copies
+     * @param request the request
      */
-    void send(String leader, long id, Q question);
+    void send(String leader, long id, Q request);
   }
 
   private final Worker worker;
@@ -42,10 +43,10 @@
    *
    * @param worker the controller's worker
    * @param controller this controller
-   * @param executor carries a question out at the leader
-   * @param sender sends a question to the leader
-   * @param noLeader answer while no leader is known
-   * @param timeoutMillis time after which a leader's answer is no longer brought back
+   * @param executor executes a request at the leader
+   * @param sender forwards a request to the leader
+   * @param noLeader response while no leader is known
+   * @param timeoutMillis time after which a leader's response is no longer passed back
    */
   public LeaderForwarder(
       Worker worker,
@@ -63,18 +64,18 @@
   }
 
   /**
-   * Carries out a question here or at the leader.
+   * Executes a request here or at the leader.
    *
-   * @param question what is asked
-   * @param answer gets the answer, at most once, on any thread
+   * @param request the request
+   * @param answer receives the response, at most once, on any thread
    */
-  public void execute(Q question, Consumer<R> answer) {
-    worker.execute(() -> route(question, answer));
+  public void execute(Q request, Consumer<R> answer) {
+    worker.execute(() -> route(request, answer));
   }
 
-  private void route(Q question, Consumer<R> answer) {
+  private void route(Q request, Consumer<R> answer) {
     if (controller.agreement().isLeader()) {
-      executor.accept(question, answer);
+      executor.accept(request, answer);
       return;
     }
     String leader = controller.leaderName();
@@ -86,16 +87,16 @@
     long id = ids;
     forwarded.put(id, answer);
     worker.schedule(timeoutMillis, () -> forwarded.remove(id));
-    sender.send(leader, id, question);
+    sender.send(leader, id, request);
   }
 
   /**
-   * Takes in the leader's answer.
+   * Handles the leader's response to a forwarded request.
    *
-   * @param id number of the question
-   * @param result the answer
+   * @param id number of the request
+   * @param result the response
    */
-  public void answered(long id, R result) {
+  public void onResponse(long id, R result) {
     Consumer<R> answer = forwarded.remove(id);
     if (answer != null) {
       answer.accept(result);
@@ -103,15 +104,15 @@
   }
 
   /**
-   * Carries out a question that another controller forwarded.
+   * Executes a request that another controller has forwarded.
    *
-   * @param question what is asked
-   * @param reply gets the answer
-   * @param notLeading answer when this controller no longer leads
+   * @param request the request
+   * @param reply receives the response
+   * @param notLeading response when this controller is no longer the leader
    */
-  public void forwardedHere(Q question, Consumer<R> reply, R notLeading) {
+  public void executeForwarded(Q request, Consumer<R> reply, R notLeading) {
     if (controller.agreement().isLeader()) {
-      executor.accept(question, reply);
+      executor.accept(request, reply);
     } else {
       reply.accept(notLeading);
     }
--- a/server/src/main/java/org/streamcourse/version/control/MemberLogs.java
+++ b/server/src/main/java/org/streamcourse/version/control/MemberLogs.java
@@ -6,12 +6,13 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * Where the logs of a service's members end, as nodes have told the leader.
+ * Log positions of a service's members, as nodes have reported them to the leader.
  *
- * <p>Records are numbered on over all terms. A change of primary drops what the new primary's log
- * lacks; a member that can't be reached keeps such records until it hears from the new primary. So
- * the places of two members can be compared only when both logs are parts of one: a former primary
- * at 1:98 is not ahead of a primary at 2:89, nor of one at 1:88 that has written nothing yet.
+ * <p>Record offsets continue over all terms. A change of primary drops the records that the new
+ * primary's log lacks; an unreachable member keeps such records until it connects to the new
+ * primary. So the positions of two members are comparable only when one log is a prefix of the
+ * other: a former primary at 1:98 is not ahead of a primary at 2:89, nor of a primary at 1:88 that
+ * has not written yet.
  */
 final class MemberLogs {
   private final NodeRegistry registry;
@@ -20,7 +21,7 @@
     this.registry = registry;
   }
 
-  /** Latest place that any node has seen in a member's log. */
+  /** Returns the latest position of a member's log that any node has reported. */
   TermPosition received(ServiceImage service, MemberId id) {
     return registry.latestReceived(service.name(), id.value());
   }
@@ -32,16 +33,19 @@
         .orElse(0);
   }
 
-  /** Term of the last record of the primary's log; where none is known, the newest of any log. */
+  /**
+   * Returns the term of the last record of the primary's log; if that is unknown, the newest term
+   * of any log.
+   */
   long lastTerm(ServiceImage service) {
     long known = received(service, service.primary()).term();
     return known > 0 ? known : newestTerm(service);
   }
 
   /**
-   * Whether a member's log is known to be a part of the present primary's: it was not primary
-   * before, or has records of a later term than it had as primary, or ends at or before the place
-   * of a primary of the same term.
+   * Returns whether a member's log is known to be a prefix of the present primary's: the member was
+   * not primary before, or has records of a later term than its own as primary, or its log ends at
+   * or before the position of the primary in the same term.
    */
   boolean follows(ServiceImage service, MemberId id) {
     Long formerTerm = service.formerPrimaries().get(id);
@@ -54,7 +58,7 @@
     return end.term() > formerTerm || (end.term() > 0 && within);
   }
 
-  /** The latest place known of each member, for the record of decisions. */
+  /** Returns the latest known position of each member, as input of a decision. */
   String describe(ServiceImage service) {
     return service.all().stream()
         .map(member -> describe(service, member.id()))
@@ -62,7 +66,7 @@
   }
 
   private String describe(ServiceImage service, MemberId id) {
-    String place = id + "=" + received(service, id);
-    return follows(service, id) ? place : place + "(may hold dropped records)";
+    String position = id + "=" + received(service, id);
+    return follows(service, id) ? position : position + "(may hold dropped records)";
   }
 }
--- a/server/src/main/java/org/streamcourse/version/control/MemberObservers.java
+++ b/server/src/main/java/org/streamcourse/version/control/MemberObservers.java
@@ -11,16 +11,16 @@
 import org.streamcourse.version.image.ServiceImage;
 
 /**
- * Which nodes can tell whether a member lives: those that may have connections to it. The others
- * bring their statements to these, and see nothing of the member themselves.
+ * Determines which nodes can observe whether a member is reachable: those that may have connections
+ * to it. All other nodes send their statements through these and do not observe the member.
  */
 final class MemberObservers {
   private final Map<MemberId, Optional<Set<String>>> holders = new HashMap<>();
   private ClusterImage image = ClusterImage.EMPTY;
   private LinkShares shares = new LinkShares(ClusterImage.EMPTY);
 
-  /** Takes the image in force; what was worked out is kept as long as it stays the same. */
-  void use(ClusterImage present) {
+  /** Sets the image in force; results are cached until its version changes. */
+  void setImage(ClusterImage present) {
     if (present.version() != image.version()) {
       image = present;
       shares = new LinkShares(present);
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Tells of a node's name whether the node can tell of a member. */
+  /** Returns a test of node names for the nodes that observe a member. */
   Predicate<String> of(ServiceImage service, MemberId id) {
     Optional<Set<String>> few =
         holders.computeIfAbsent(
--- a/server/src/main/java/org/streamcourse/version/control/MemberOrders.java
+++ b/server/src/main/java/org/streamcourse/version/control/MemberOrders.java
@@ -12,12 +12,12 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * The leader's orders to the gateways of one group's members. The steps that need an order ask for
- * it at each look; it goes out again after {@link ControlSettings#orderRetryMillis()}, through
- * another gateway.
+ * The leader's orders to the gateways of one group's members. A step that needs an order requests
+ * it at each check; while there is no result, the order is sent again each {@link
+ * ControlSettings#orderRetryMillis()}, through another gateway.
  */
 final class MemberOrders {
-  /** An order without an outcome so far. */
+  /** An order without a result so far. */
   record Sent(String gateway, String member, OrderKind kind, long term) {}
 
   private final String group;
@@ -25,7 +25,7 @@
   private final NodeRegistry registry;
   private final GroupSupervisor.Actions actions;
   private final Map<Long, Sent> unanswered = new HashMap<>();
-  private final Map<String, Long> lastSentAt = new HashMap<>();
+  private final Map<String, Long> lastSentMillis = new HashMap<>();
   private int count;
 
   MemberOrders(
@@ -39,20 +39,20 @@
     this.actions = actions;
   }
 
-  /** Whether an order with this number was sent and not yet answered. */
+  /** Returns whether an order with this number has no result yet. */
   boolean awaits(long orderId) {
     return unanswered.containsKey(orderId);
   }
 
-  /** Takes an order out of those without an outcome. */
-  Optional<Sent> answered(long orderId) {
+  /** Removes and returns an order that now has a result. */
+  Optional<Sent> removeAnswered(long orderId) {
     return Optional.ofNullable(unanswered.remove(orderId));
   }
 
-  /** Forgets all orders, since a new term has begun. */
-  void forget() {
+  /** Forgets all orders when a new term has begun. */
+  void clear() {
     unanswered.clear();
-    lastSentAt.clear();
+    lastSentMillis.clear();
   }
 
   void toOneGateway(MemberImage member, OrderKind kind, long term, String primary) {
@@ -65,7 +65,7 @@
       return;
     }
     count++;
-    List<Allowance> gateways = heardGateways(member);
+    List<Allowance> gateways = responsiveGateways(member);
     String gateway = gateways.get(count % gateways.size()).node();
     send(gateway, member, kind, term, primary, awaited);
   }
@@ -79,26 +79,29 @@
     }
   }
 
-  private List<Allowance> heardGateways(MemberImage member) {
-    List<Allowance> heard = new ArrayList<>();
+  private List<Allowance> responsiveGateways(MemberImage member) {
+    List<Allowance> responsive = new ArrayList<>();
     for (Allowance allowance : member.allowances()) {
-      long lastHeard =
-          registry.state(allowance.node()).map(NodeRegistry.NodeState::lastHeardMillis).orElse(0L);
-      if (actions.now() - lastHeard <= settings.gatewaySilenceMillis()) {
-        heard.add(allowance);
+      long lastHeartbeat =
+          registry
+              .state(allowance.node())
+              .map(NodeRegistry.NodeState::lastHeartbeatMillis)
+              .orElse(0L);
+      if (actions.now() - lastHeartbeat <= settings.gatewaySilenceMillis()) {
+        responsive.add(allowance);
       }
     }
-    return heard.isEmpty() ? member.allowances() : heard;
+    return responsive.isEmpty() ? member.allowances() : responsive;
   }
 
   private boolean isDue(MemberImage member, OrderKind kind, long term) {
     String key = member.name() + '/' + kind + '/' + term;
-    Long last = lastSentAt.get(key);
+    Long last = lastSentMillis.get(key);
     long now = actions.now();
     if (last != null && now - last < settings.orderRetryMillis()) {
       return false;
     }
-    lastSentAt.put(key, now);
+    lastSentMillis.put(key, now);
     return true;
   }
 
--- a/server/src/main/java/org/streamcourse/version/control/MemberProbe.java
+++ b/server/src/main/java/org/streamcourse/version/control/MemberProbe.java
@@ -5,9 +5,9 @@
 import org.streamcourse.version.image.RegisteredMember;
 import org.streamcourse.version.image.TermPosition;
 
-/** Questions of controllers to members of a service with synchronous replicas. */
+/** Requests of controllers to members of a service with synchronous replicas. */
 public interface MemberProbe {
-  /** Asks nobody; for fleets without such services. */
+  /** Sends no requests; for fleets without such services. */
   MemberProbe NONE =
       new MemberProbe() {
         @Override
@@ -29,14 +29,14 @@
       };
 
   /**
-   * Keeps a replica from receiving more of its primary's log, until it is resumed, another member
-   * is promoted, or it restarts.
+   * Pauses the replication at a replica, until the replica is resumed, another member is promoted,
+   * or the replica restarts.
    *
    * @param service service's name
    * @param member the replica
    * @param term a term above the newest
-   * @param received gets the end of its log, which stays as it is from then on; empty when the
-   *     member did not confirm; called once, on any thread
+   * @param received receives the end of the replica's log, which does not change while it is
+   *     paused; empty when the member did not confirm; called once, on any thread
    */
   void pause(
       String service,
@@ -45,17 +45,17 @@
       Consumer<Optional<TermPosition>> received);
 
   /**
-   * Takes the lead from a primary, so that it acknowledges nothing more.
+   * Makes a primary step down, so that it acknowledges no more commits.
    *
    * @param service service's name
    * @param member the primary
    * @param term a term above the newest
-   * @param done runs once, when the member has answered or can't be expected to; on any thread
+   * @param done runs once, when the member has answered or the request has timed out; on any thread
    */
   void stepDown(String service, RegisteredMember member, long term, Runnable done);
 
   /**
-   * Lets a replica receive again.
+   * Resumes the replication at a paused replica.
    *
    * @param service service's name
    * @param member the replica
--- a/server/src/main/java/org/streamcourse/version/control/MemberReports.java
+++ b/server/src/main/java/org/streamcourse/version/control/MemberReports.java
@@ -8,8 +8,8 @@
 import org.streamcourse.version.control.ControlMessage.MemberReport;
 
 /**
- * What a node tells the leader of members: the newest report of each, and those of which no
- * confirmed heartbeat has told yet.
+ * A node's reports on members: the newest one of each member, and those that no confirmed heartbeat
+ * has contained yet.
  */
 final class MemberReports {
   private final Map<String, MemberReport> newest = new TreeMap<>();
@@ -21,7 +21,7 @@
     return group + '/' + member;
   }
 
-  /** Notes a report; returns whether it tells something new. */
+  /** Adds a report; returns whether it differs from the one before. */
   boolean put(MemberReport report) {
     String key = key(report.group(), report.member());
     if (report.equals(newest.put(key, report))) {
@@ -32,7 +32,7 @@
     return true;
   }
 
-  /** Forgets a member. */
+  /** Removes a member's report. */
   void withdraw(String group, String member) {
     if (newest.remove(key(group, member)) != null) {
       unconfirmed.remove(key(group, member));
@@ -40,20 +40,26 @@
     }
   }
 
-  /** Whether a member was forgotten since the last call, so that all reports must be told. */
+  /**
+   * Returns whether a report was withdrawn since the last call, so that the next heartbeat must
+   * contain all reports.
+   */
   boolean takeWithdrawn() {
     boolean was = withdrawn;
     withdrawn = false;
     return was;
   }
 
-  /** The reports that a heartbeat takes along. */
+  /** Returns the reports for a heartbeat: all of them, or the unconfirmed ones. */
   List<MemberReport> toSend(boolean all, long sequence) {
     unconfirmed.keySet().forEach(key -> firstSentIn.putIfAbsent(key, sequence));
     return new ArrayList<>(all ? newest.values() : unconfirmed.values());
   }
 
-  /** A heartbeat may be lost though one before it is answered, so its reports go along again. */
+  /**
+   * Marks reports as confirmed if they were first sent in this heartbeat or an earlier one. Later
+   * reports are sent again, since their heartbeat may be lost although an earlier one was answered.
+   */
   void confirmed(long sequence) {
     unconfirmed.keySet().removeIf(key -> firstSentIn.getOrDefault(key, Long.MAX_VALUE) <= sequence);
     firstSentIn.keySet().retainAll(unconfirmed.keySet());
--- a/server/src/main/java/org/streamcourse/version/control/MemberRole.java
+++ b/server/src/main/java/org/streamcourse/version/control/MemberRole.java
@@ -1,11 +1,11 @@
 package org.streamcourse.version.control;
 
-/** What a database member says it is. */
+/** Role that a database member reports. */
 public enum MemberRole {
-  /** Takes writes in its term. */
+  /** Accepts writes in its term. */
   PRIMARY,
   /** Receives the log of a primary. */
   REPLICA,
-  /** Has stopped both for a term that was opened. */
+  /** Neither accepts writes nor receives a log, since a newer term was opened. */
   FENCED
 }
--- a/server/src/main/java/org/streamcourse/version/control/NodeAdmission.java
+++ b/server/src/main/java/org/streamcourse/version/control/NodeAdmission.java
@@ -17,8 +17,9 @@
 import org.streamcourse.version.image.NodeImage;
 
 /**
- * The leader's table of nodes: admits those that send heartbeats, removes those that fell silent or
- * have left, and keeps the allowances of all members in line with the admitted nodes.
+ * The leader's admission of nodes: admits nodes that send heartbeats, removes nodes whose
+ * heartbeats stop or that have drained, and adapts the allowances of all members to the admitted
+ * nodes.
  */
 final class NodeAdmission {
   private final ControlSettings settings;
@@ -27,7 +28,7 @@
   private final GroupSupervisor.Actions actions;
   private final Map<String, Long> admitting = new HashMap<>();
   private final List<ClusterChange> admissions = new ArrayList<>();
-  private final Map<String, Long> removedAt = new HashMap<>();
+  private final Map<String, Long> removedAtMillis = new HashMap<>();
   private final Map<String, Long> allowancesChangedAtVersion = new HashMap<>();
   private final Set<String> changing = new HashSet<>();
   private final GatewayChooser chooser = new GatewayChooser();
@@ -46,27 +47,27 @@
     this.actions = actions;
   }
 
-  /** Forgets everything, as a leadership begins or ends. */
+  /** Discards all state when a leadership begins or ends. */
   void restart(long now) {
     admitting.clear();
     admissions.clear();
-    removedAt.clear();
+    removedAtMillis.clear();
     allowancesChangedAtVersion.clear();
     changing.clear();
     leadsSince = now;
     plannedVersion = -1;
   }
 
-  /** Looks at all allowances at the next check, since other nodes may be wanted as gateways. */
-  void planAgain() {
+  /** Plans all allowances again at the next check, since other nodes may be chosen as gateways. */
+  void replan() {
     planIncomplete = true;
   }
 
   /**
-   * Admits the sender of a heartbeat unless it is admitted already; with the next check, so that
-   * nodes that start together are agreed on and told of together.
+   * Admits the sender of a heartbeat unless it is admitted already. The change is proposed at the
+   * next check, so that nodes that start together are agreed on and published together.
    */
-  void heard(ClusterImage image, NodeHeartbeat heartbeat) {
+  void onHeartbeat(ClusterImage image, NodeHeartbeat heartbeat) {
     NodeImage node = heartbeat.node();
     NodeImage admitted = image.nodes().get(node.name());
     if (heartbeat.leaving() && admitted != null) {
@@ -84,13 +85,13 @@
     actions.decided(
         Decision.Kind.NODE_ADMITTED,
         node.name(),
-        admitted == null ? "sent a heartbeat" : "came back",
+        admitted == null ? "first heartbeat" : "heartbeat of a newer incarnation",
         "incarnation " + node.incarnation(),
         "admitted");
     admissions.add(new ClusterChange.NodeAdmitted(node));
   }
 
-  /** Notes at which version a member's allowances changed. */
+  /** Records the version at which a member's allowances changed. */
   void applied(ClusterChange.AllowancesSet change, long version) {
     String key = key(change.group(), change.member());
     changing.remove(key);
@@ -101,7 +102,7 @@
     return group + '/' + member;
   }
 
-  /** Admits and removes nodes, and takes the next steps of moving allowances. */
+  /** Proposes admissions and removals of nodes, and the next changes of allowances. */
   void check(ClusterImage image) {
     admissions.forEach(actions::propose);
     admissions.clear();
@@ -117,22 +118,22 @@
 
   private void removeIfGone(ClusterImage image, NodeImage node) {
     Optional<NodeRegistry.NodeState> state = registry.state(node.name());
-    long lastHeard = state.map(NodeRegistry.NodeState::lastHeardMillis).orElse(leadsSince);
-    boolean lost = actions.now() - lastHeard > settings.nodeLostMillis();
+    long lastHeartbeat = state.map(NodeRegistry.NodeState::lastHeartbeatMillis).orElse(leadsSince);
+    boolean lost = actions.now() - lastHeartbeat > settings.nodeLostMillis();
     boolean left =
         state.map(NodeRegistry.NodeState::isLeaving).orElse(false)
             && !holdsAllowance(image, node.name());
     if (!lost && !left) {
       return;
     }
-    if (removedAt.putIfAbsent(node.name(), actions.now()) != null) {
+    if (removedAtMillis.putIfAbsent(node.name(), actions.now()) != null) {
       return;
     }
     registry.forget(node.name());
     actions.decided(
         Decision.Kind.NODE_REMOVED,
         node.name(),
-        left ? "it has left" : "silent for " + settings.nodeLostMillis() + " ms",
+        left ? "it has drained" : "no heartbeat for " + settings.nodeLostMillis() + " ms",
         "incarnation " + node.incarnation(),
         "removed");
     actions.propose(new ClusterChange.NodeRemoved(node.name(), node.incarnation()));
@@ -147,7 +148,7 @@
   private void planAllowances(ClusterImage image) {
     List<NodeImage> candidates = new ArrayList<>();
     for (NodeImage node : image.nodes().values()) {
-      removedAt.remove(node.name());
+      removedAtMillis.remove(node.name());
       boolean leaving =
           registry.state(node.name()).map(NodeRegistry.NodeState::isLeaving).orElse(false);
       if (!node.draining() && !leaving && !leavesByPlatform.test(node)) {
@@ -157,7 +158,7 @@
     if (candidates.isEmpty()) {
       return;
     }
-    chooser.use(candidates);
+    chooser.setCandidates(candidates);
     for (GroupImage group : image.groups().values()) {
       for (MemberImage member : group.members()) {
         planMember(image, group, member);
@@ -174,13 +175,14 @@
     long changedAt = allowancesChangedAtVersion.getOrDefault(key, image.version());
     List<NodeImage> gateways = chooser.gatewaysOf(group.name(), member);
     Optional<List<Allowance>> next =
-        AllowancePlanner.plan(member, gateways, part -> isReleased(image, part, changedAt));
+        AllowancePlanner.plan(
+            member, gateways, allowance -> isReleased(image, allowance, changedAt));
     if (next.isPresent()) {
       changing.add(key);
       actions.decided(
           Decision.Kind.ALLOWANCES_SET,
           key,
-          "gateways by place and hash",
+          "gateways by placement and hash",
           member.allowances().toString(),
           next.get().toString());
       actions.propose(new ClusterChange.AllowancesSet(group.name(), member.name(), next.get()));
@@ -188,16 +190,16 @@
     planIncomplete |= next.isPresent() || !AllowancePlanner.isOnTarget(member, gateways);
   }
 
-  /** Whether a node certainly holds no more connections than its present part. */
-  private boolean isReleased(ClusterImage image, Allowance part, long changedAtVersion) {
-    Optional<NodeRegistry.NodeState> state = registry.state(part.node());
+  /** Returns whether a node certainly has no more connections than its present allowance. */
+  private boolean isReleased(ClusterImage image, Allowance allowance, long changedAtVersion) {
+    Optional<NodeRegistry.NodeState> state = registry.state(allowance.node());
     if (state.isPresent()) {
       return state.get().heldVersion() >= changedAtVersion;
     }
-    if (image.node(part.node()).isPresent()) {
+    if (image.node(allowance.node()).isPresent()) {
       return false;
     }
-    Long gone = removedAt.computeIfAbsent(part.node(), any -> actions.now());
+    Long gone = removedAtMillis.computeIfAbsent(allowance.node(), any -> actions.now());
     return actions.now() - gone > settings.releaseMillis();
   }
 }
--- a/server/src/main/java/org/streamcourse/version/control/NodeAgent.java
+++ b/server/src/main/java/org/streamcourse/version/control/NodeAgent.java
@@ -28,20 +28,21 @@
 
 /**
  * A node's side of the control plane: sends heartbeats to the leader, keeps the newest image in
- * memory and on disk, and tells listeners of each new one.
+ * memory and on disk, and notifies listeners of each new image.
  *
- * <p>The image never goes back: one with a lower version is dropped. {@link #isConfirmed()} is true
- * while a majority of the controllers confirmed, a short while ago, that this node's heartbeats are
- * heard; without that the node may not know that a member leaves, and takes no new work.
+ * <p>The image's version never decreases: an image with a lower version is dropped. {@link
+ * #isConfirmed()} is true while a heartbeat of this node was recently confirmed by a majority of
+ * the controllers. Without a confirmation the node may have missed that a member is draining, so it
+ * accepts no new work.
  */
 public final class NodeAgent {
   private static final Logger LOG = LoggerFactory.getLogger(NodeAgent.class);
   private static final long REPORT_DELAY_MILLIS = 2;
-  private static final long FIRST_HEARTBEATS_MILLIS = 120;
-  private static final int SILENT_HEARTBEATS_BEFORE_NEXT = 2;
-  private static final int KEPT_SENT_TIMES = 64;
+  private static final long STARTUP_HEARTBEAT_MILLIS = 120;
+  private static final int UNANSWERED_HEARTBEATS_BEFORE_NEXT = 2;
+  private static final int MAX_SENT_TIMES = 64;
 
-  /** Time between questions for an image: a way between regions and back, and its bytes. */
+  /** Time between requests for an image: a round trip between regions and the image's transfer. */
   private static final long IMAGE_REQUEST_MILLIS = 150;
 
   private final Worker worker;
@@ -70,14 +71,14 @@
   private long lastAnswerMillis;
   private boolean answered;
   private boolean reportAll = true;
-  private boolean heartbeatSoon;
+  private boolean heartbeatScheduled;
   private Disposable timer = () -> {};
 
   /**
-   * Creates an agent and loads the image that the node knew last.
+   * Creates an agent and loads the image that the node stored last.
    *
-   * @param worker worker on which all methods but the queries run
-   * @param network way to the controllers
+   * @param worker worker on which all methods run, except for the getters
+   * @param network sends messages to the controllers
    * @param disk data folder
    * @param codec codec that knows the control messages
    * @param settings timing
@@ -103,21 +104,20 @@
   }
 
   /**
-   * Sets who knows the number of callers' sessions.
+   * Sets the source of the number of client sessions.
    *
    * @param count called on the agent's worker
    */
-  public void countSessions(IntSupplier count) {
+  public void setSessionCount(IntSupplier count) {
     sessions = count;
   }
 
   /**
-   * Sets what gathers the reports that each heartbeat takes along; what must be told sooner is
-   * reported as urgent at any time.
+   * Sets a task that adds the reports for the next heartbeat; urgent reports are added at any time.
    *
-   * @param preparation called on the agent's worker
+   * @param preparation runs on the agent's worker before each heartbeat
    */
-  public void beforeHeartbeat(Runnable preparation) {
+  public void setHeartbeatPreparation(Runnable preparation) {
     heartbeatPreparation = preparation;
   }
 
@@ -125,25 +125,25 @@
   public void start() {
     startedMillis = worker.now();
     lastAnswerMillis = startedMillis;
-    firstHeartbeats();
+    startupHeartbeats();
     timer = worker.repeat(settings.heartbeatMillis(), this::heartbeat);
   }
 
   /**
-   * Asks often until the leader has confirmed this start: all controllers while there is no image,
-   * since any of them may know one and which of them is up first is not known, and then one after
-   * the other.
+   * Sends heartbeats at a short interval until the leader confirms this start: to all controllers
+   * while there is no image, since any of them may be the first that is up and has one, and then to
+   * one controller after the other.
    */
-  private void firstHeartbeats() {
+  private void startupHeartbeats() {
     if (everConfirmed) {
       return;
     }
-    int asked = image.version() == 0 ? controllers.size() : 1;
-    for (int i = 0; i < asked; i++) {
+    int receivers = image.version() == 0 ? controllers.size() : 1;
+    for (int i = 0; i < receivers; i++) {
       heartbeat();
       controllerIndex = (controllerIndex + 1) % controllers.size();
     }
-    worker.schedule(FIRST_HEARTBEATS_MILLIS, this::firstHeartbeats);
+    worker.schedule(STARTUP_HEARTBEAT_MILLIS, this::startupHeartbeats);
   }
 
   /** Stops the heartbeats. */
@@ -151,10 +151,10 @@
     timer.dispose();
   }
 
-  /** Tells the leader that this node wants to stop, so that its allowances move elsewhere. */
+  /** Reports to the leader that this node is draining, so that its allowances move elsewhere. */
   public void leave() {
     leaving = true;
-    heartbeatSoon();
+    scheduleHeartbeat();
   }
 
   /**
@@ -169,34 +169,34 @@
   /**
    * Returns this node.
    *
-   * @return what the node tells of itself
+   * @return description of this node in its heartbeats
    */
   public NodeImage self() {
     return self;
   }
 
   /**
-   * Tells whether the node may take new work.
+   * Returns whether the node may accept new work.
    *
-   * @return true while a majority of controllers confirmed it recently; safe from any thread
+   * @return true while a majority confirmed a heartbeat recently; safe from any thread
    */
   public boolean isConfirmed() {
     return wasConfirmedWithin(settings.confirmationMillis());
   }
 
   /**
-   * Tells how old the node's knowledge of what is agreed may be.
+   * Returns whether a heartbeat was confirmed recently enough.
    *
-   * @param millis an age
-   * @return true when a heartbeat sent less than that ago was confirmed; safe from any thread
+   * @param millis greatest age of the confirmed heartbeat
+   * @return true when a heartbeat sent less than this time ago was confirmed; safe from any thread
    */
   public boolean wasConfirmedWithin(long millis) {
     return everConfirmed && worker.now() - lastConfirmedMillis < millis;
   }
 
   /**
-   * Tells whether the node has been without a confirmation for so long that the controllers seem to
-   * be out of reach; a node that has just started may still hear of them.
+   * Returns whether the node has been without a confirmation for so long that the controllers seem
+   * to be unreachable. A node that has just started does not count as cut off yet.
    *
    * @return true when it was neither started nor confirmed recently; safe from any thread
    */
@@ -206,37 +206,35 @@
   }
 
   /**
-   * Tells whether the node's parts of the members' limits are its own for sure: the controllers
-   * give them to others only a while after this has become false.
+   * Returns whether the node's allowances certainly belong to it: the controllers assign them to
+   * other nodes only some time after this has become false.
    *
-   * @return true while a majority of controllers confirmed it not too long ago; safe from any
-   *     thread
+   * @return true while a heartbeat was confirmed not too long ago; safe from any thread
    */
   public boolean holdsAllowances() {
     return wasConfirmedWithin(settings.allowanceLapseMillis());
   }
 
   /**
-   * Adds a listener that hears each confirmation, on the agent's worker, when the image that came
-   * with it is in force.
+   * Adds a listener for confirmations.
    *
-   * @param listener the listener
+   * @param listener runs on the agent's worker when the image of a confirmation is in force
    */
   public void onConfirmed(Runnable listener) {
     confirmationListeners.add(listener);
   }
 
   /**
-   * Sets who hears that an image is in force which a controller had stored but no leader confirmed.
+   * Sets the listener for stored images, which no leader has confirmed.
    *
-   * @param listener runs on the agent's worker
+   * @param listener runs on the agent's worker when such an image is in force
    */
-  public void onStoredImage(Runnable listener) {
+  public void setStoredImageListener(Runnable listener) {
     storedImageListener = listener;
   }
 
   /**
-   * Tells whether the node is stopping.
+   * Returns whether the node is draining.
    *
    * @return true once {@link #leave()} was called
    */
@@ -245,40 +243,40 @@
   }
 
   /**
-   * Adds a listener that hears each new image on the agent's worker.
+   * Adds a listener for new images.
    *
-   * @param listener the listener
+   * @param listener receives each new image on the agent's worker
    */
   public void onImage(Consumer<ClusterImage> listener) {
     listeners.add(listener);
   }
 
   /**
-   * Notes that the node keeps the allowances of a version.
+   * Records that the node adheres to the allowances of a version.
    *
-   * @param version version whose allowances are kept
+   * @param version version whose allowances the node does not exceed
    */
   public void allowancesHeld(long version) {
     if (version > heldVersion) {
       heldVersion = version;
-      heartbeatSoon();
+      scheduleHeartbeat();
     }
   }
 
   /**
-   * Notes what a gateway knows of a member; a change is reported at once.
+   * Adds a report on a member; an urgent change is sent at once.
    *
    * @param report newest report
-   * @param urgent whether the leader should hear it before the next heartbeat
+   * @param urgent whether a heartbeat is sent for it at once
    */
   public void report(MemberReport report, boolean urgent) {
     if (reports.put(report) && urgent) {
-      heartbeatSoon();
+      scheduleHeartbeat();
     }
   }
 
   /**
-   * Forgets a member that this node no longer is a gateway of.
+   * Removes the report on a member that this node is no longer a gateway of.
    *
    * @param group group's name
    * @param member member's name
@@ -288,7 +286,7 @@
   }
 
   /**
-   * Handles a message from a controller, or a question or image from another node.
+   * Handles a message from a controller, or an image or a request for one from another node.
    *
    * @param sender name of the sender
    * @param message what arrived
@@ -308,17 +306,17 @@
   }
 
   /**
-   * Asks another node for its image while this one has none. Controllers may be out of reach where
-   * other nodes are not: without this, proxies that started behind a partition served nothing until
-   * it ended. The node that spoke last is asked again until an image is there, since a question or
-   * its answer may be lost.
+   * Requests the image of another node while this node has none. Controllers may be unreachable
+   * while other nodes are reachable: without this, proxies that started behind a partition served
+   * nothing until it ended. Since messages may be lost, the request is repeated until an image has
+   * arrived, to the node from which a message arrived last.
    *
-   * @param node name of a node that has just spoken
+   * @param node name of a node from which a message has just arrived
    */
-  public void askForImage(String node) {
-    boolean asksAlready = !imageSource.isEmpty();
+  public void requestImageFrom(String node) {
+    boolean requesting = !imageSource.isEmpty();
     imageSource = image.version() > 0 ? "" : node;
-    if (!asksAlready) {
+    if (!requesting) {
       requestImage();
     }
   }
@@ -329,36 +327,38 @@
       return;
     }
     LOG.info(
-        "asks {} for its image, {} ms after the start", imageSource, worker.now() - startedMillis);
+        "requests the image of {}, {} ms after the start",
+        imageSource,
+        worker.now() - startedMillis);
     network.send(imageSource, new ImageRequest());
     worker.schedule(IMAGE_REQUEST_MILLIS, this::requestImage);
   }
 
   /**
-   * Sends a message to the controller that seems to lead; it may be lost.
+   * Sends a message to the controller that is presumably the leader; the message may be lost.
    *
-   * @param message what to send
+   * @param message the message
    */
-  public void tellController(ControlMessage message) {
+  public void sendToController(ControlMessage message) {
     network.send(controllers.get(controllerIndex), message);
   }
 
   /**
-   * Changes the controllers that are asked when those last heard of do not answer.
+   * Replaces the seeds: controllers that are contacted when none of the last known ones responds.
    *
    * @param names names of controllers
    */
-  public void learnSeeds(List<String> names) {
+  public void setSeeds(List<String> names) {
     worker.execute(
         () -> {
           seeds.clear();
           seeds.addAll(names);
-          learnControllers(controllers);
+          updateControllers(controllers);
         });
   }
 
-  /** Takes in the present controllers; the seeds stay at the end of the list. */
-  private void learnControllers(List<String> present) {
+  /** Updates the list of controllers; the seeds stay at its end. */
+  private void updateControllers(List<String> present) {
     Set<String> next = new LinkedHashSet<>(present);
     next.addAll(seeds);
     if (next.equals(new LinkedHashSet<>(controllers))) {
@@ -380,7 +380,7 @@
     lastAnswerMillis = worker.now();
     reportAll = reply.reportAll();
     if (!reply.controllers().isEmpty()) {
-      learnControllers(reply.controllers());
+      updateControllers(reply.controllers());
     }
     if (reply.image() != null && reply.image().version() > image.version()) {
       store.save(reply.image());
@@ -388,20 +388,20 @@
     } else if (reply.delta() != null && reply.delta().fromVersion() == image.version()) {
       install(reply.delta());
     }
-    tellConfirmed(sent);
+    logConfirmation(sent);
     lastConfirmedMillis = Math.max(lastConfirmedMillis, sent);
     everConfirmed = true;
     confirmationListeners.forEach(Runnable::run);
     if (reportAll) {
-      heartbeatSoon();
+      scheduleHeartbeat();
     }
   }
 
-  /** Tells the first confirmation, and one that comes after a long time without. */
-  private void tellConfirmed(long sent) {
+  /** Logs the first confirmation, and each one after an interruption. */
+  private void logConfirmation(long sent) {
     if (!isConfirmed()) {
       LOG.info(
-          "confirmed by the controllers, image version {}, document version {}, after {} ms",
+          "confirmed by the controllers, image version {}, document version {}, {} ms unconfirmed",
           image.version(),
           image.document().version(),
           everConfirmed ? sent - lastConfirmedMillis : worker.now() - startedMillis);
@@ -412,17 +412,17 @@
     if (delta.fromVersion() == image.version()) {
       install(delta);
     } else if (delta.fromVersion() > image.version()) {
-      heartbeatSoon();
+      scheduleHeartbeat();
     }
   }
 
-  /** Taken only before the first confirmation, which brings the same version or a newer one. */
+  /** Installs a stored image before the first confirmation, whose image is at least as new. */
   private void onStoredImage(String source, ClusterImage stored) {
     if (everConfirmed || stored.version() <= image.version()) {
       return;
     }
     LOG.info(
-        "takes a stored image of {}, version {}, document version {}, after {} ms",
+        "installs the stored image of {}, version {}, document version {}, {} ms after the start",
         source,
         stored.version(),
         stored.document().version(),
@@ -436,14 +436,14 @@
     if (!hint.leader().isEmpty() && !controllers.contains(hint.leader())) {
       List<String> known = new ArrayList<>(controllers);
       known.add(hint.leader());
-      learnControllers(known);
+      updateControllers(known);
     }
     int index = controllers.indexOf(hint.leader());
     if (index >= 0 && index != controllerIndex) {
       controllerIndex = index;
       lastAnswerMillis = worker.now();
       reportAll = true;
-      heartbeatSoon();
+      scheduleHeartbeat();
     }
   }
 
@@ -456,8 +456,9 @@
   }
 
   /**
-   * Brings a stored image into force. The next regular heartbeat tells of it: with one for each
-   * version, a fleet that starts would send as many heartbeats as it has nodes, times as many.
+   * Brings a stored image into force. The next regular heartbeat reports its version: with a
+   * heartbeat for each version, the number sent by a starting fleet would grow with its size
+   * squared.
    */
   private void install(ClusterImage next) {
     image = next;
@@ -467,18 +468,18 @@
     }
   }
 
-  private void heartbeatSoon() {
-    if (!heartbeatSoon) {
-      heartbeatSoon = true;
+  private void scheduleHeartbeat() {
+    if (!heartbeatScheduled) {
+      heartbeatScheduled = true;
       worker.schedule(REPORT_DELAY_MILLIS, this::heartbeat);
     }
   }
 
   private void heartbeat() {
     heartbeatPreparation.run();
-    heartbeatSoon = false;
+    heartbeatScheduled = false;
     long now = worker.now();
-    if (now - lastAnswerMillis > SILENT_HEARTBEATS_BEFORE_NEXT * settings.heartbeatMillis()) {
+    if (now - lastAnswerMillis > UNANSWERED_HEARTBEATS_BEFORE_NEXT * settings.heartbeatMillis()) {
       controllerIndex = (controllerIndex + 1) % controllers.size();
       lastAnswerMillis = now;
       reportAll = true;
@@ -487,7 +488,7 @@
     answered = false;
     sequence++;
     sentAt.put(sequence, now);
-    if (sentAt.size() > KEPT_SENT_TIMES) {
+    if (sentAt.size() > MAX_SENT_TIMES) {
       sentAt.pollFirstEntry();
     }
     List<MemberReport> sent = reports.toSend(all, sequence);
--- a/server/src/main/java/org/streamcourse/version/control/NodeRegistry.java
+++ b/server/src/main/java/org/streamcourse/version/control/NodeRegistry.java
@@ -13,17 +13,17 @@
 import org.streamcourse.version.control.ControlMessage.NodeHeartbeat;
 import org.streamcourse.version.image.TermPosition;
 
-/** What the leader has heard from nodes since it leads; nothing of it is replicated. */
+/** State that nodes have reported to the leader during this leadership; not replicated. */
 final class NodeRegistry {
-  /** Last words of one node. */
+  /** Newest state of one node. */
   static final class NodeState {
     private final Map<String, MemberReport> reports = new TreeMap<>();
     private final Map<String, Long> answeredMillis = new TreeMap<>();
-    private final Set<String> news = new TreeSet<>();
+    private final Set<String> changedGroups = new TreeSet<>();
     private long incarnation;
-    private long lastHeardMillis = NEVER;
-    private long toldMillis = NEVER;
-    private long backSinceMillis = NEVER;
+    private long lastHeartbeatMillis = NEVER;
+    private long reportedMillis = NEVER;
+    private long returnedMillis = NEVER;
     private long version;
     private long heldVersion;
     private long sequence;
@@ -31,8 +31,8 @@
     private int sessions;
     private boolean complete;
 
-    long lastHeardMillis() {
-      return lastHeardMillis;
+    long lastHeartbeatMillis() {
+      return lastHeartbeatMillis;
     }
 
     long version() {
@@ -51,14 +51,17 @@
       return leaving;
     }
 
-    /** Whether all reports were received since this leadership began. */
+    /** Returns whether a complete set of reports was received during this leadership. */
     boolean isComplete() {
       return complete;
     }
 
-    /** Groups of which the newest heartbeat told more than that positions moved on. */
-    Set<String> groupsWithNews() {
-      return news;
+    /**
+     * Returns the groups with a member whose report changed in the newest heartbeat other than by
+     * its log positions.
+     */
+    Set<String> changedGroups() {
+      return changedGroups;
     }
 
     Optional<MemberReport> report(String group, String member) {
@@ -71,19 +74,22 @@
   }
 
   /**
-   * Time within which a heartbeat with a lower number was overtaken on its way; after a longer one
-   * the node has started again and counts anew. Above the way of a message, below a process's
-   * start.
+   * Time within which a heartbeat with a lower sequence number counts as delivered out of order;
+   * after a longer time it shows that the node has restarted and begun a new sequence. Above the
+   * latency of a message, below the start time of a process.
    */
-  private static final long OVERTAKEN_MILLIS = 300;
+  private static final long REORDERED_MILLIS = 300;
 
-  /** Silence after which a node that is heard again has come back; three heartbeats. */
+  /**
+   * Time without a heartbeat after which the next one counts as the node's return; three heartbeat
+   * intervals.
+   */
   private static final long AWAY_MILLIS = 1_500;
 
   /**
-   * Time from a node's return in which its word that a member is unreachable does not count: it was
-   * formed on the other side of a partition. Above the 700 ms in which a node has tried the member
-   * again (300 ms between tries, 400 ms for a connection) and told of it.
+   * Time after a node's return in which its reports of unreachable members are ignored, since they
+   * describe the other side of a partition. Above the 700 ms within which the node has tried the
+   * member again (300 ms between attempts, 400 ms for a connection) and reported the result.
    */
   private static final long SETTLING_MILLIS = 1_000;
 
@@ -93,7 +99,7 @@
       Comparator.comparing(MemberReport::reachable).thenComparing(report -> report.status().term());
 
   private final Map<String, NodeState> states = new TreeMap<>();
-  private long hearingSinceMillis = NEVER;
+  private long firstHeartbeatMillis = NEVER;
 
   private static String key(String group, String member) {
     return group + '/' + member;
@@ -105,8 +111,8 @@
         .collect(Collectors.toSet());
   }
 
-  /** Takes in a heartbeat; returns false when it comes from a superseded incarnation. */
-  boolean heard(NodeHeartbeat heartbeat, long now, boolean allReportsAsked) {
+  /** Handles a heartbeat; returns false when it comes from a superseded incarnation. */
+  boolean onHeartbeat(NodeHeartbeat heartbeat, long now, boolean complete) {
     NodeState state = states.computeIfAbsent(heartbeat.node().name(), any -> new NodeState());
     long incarnation = heartbeat.node().incarnation();
     if (incarnation < state.incarnation) {
@@ -118,21 +124,21 @@
       state.complete = false;
       state.incarnation = incarnation;
     }
-    boolean overtaken =
-        heartbeat.sequence() < state.sequence && now - state.lastHeardMillis < OVERTAKEN_MILLIS;
-    noteReturn(state, now);
-    state.lastHeardMillis = now;
-    if (overtaken) {
+    boolean reordered =
+        heartbeat.sequence() < state.sequence && now - state.lastHeartbeatMillis < REORDERED_MILLIS;
+    recordReturn(state, now);
+    state.lastHeartbeatMillis = now;
+    if (reordered) {
       return true;
     }
-    state.toldMillis = now;
+    state.reportedMillis = now;
     state.sequence = heartbeat.sequence();
     state.version = heartbeat.version();
     state.heldVersion = heartbeat.heldVersion();
     state.leaving = heartbeat.leaving();
     state.sessions = heartbeat.sessions();
-    state.complete |= allReportsAsked;
-    state.news.clear();
+    state.complete |= complete;
+    state.changedGroups.clear();
     if (heartbeat.all()) {
       state.reports.keySet().retainAll(keys(heartbeat.reports()));
       state.answeredMillis.keySet().retainAll(state.reports.keySet());
@@ -140,17 +146,17 @@
     for (MemberReport report : heartbeat.reports()) {
       MemberReport before = state.reports.put(key(report.group(), report.member()), report);
       if (before == null || !before.hasSameRole(report)) {
-        state.news.add(report.group());
+        state.changedGroups.add(report.group());
       }
     }
     return true;
   }
 
   /**
-   * Takes in what a member said to one of its gateways in answer to an order. A heartbeat that
-   * tells the same may be lost, and the answer counts like one; not for the life of the node.
+   * Stores the status that a member returned to one of its gateways in response to an order. It
+   * counts like a report in a heartbeat, which may be lost, but not as a heartbeat of the gateway.
    */
-  void answered(String gateway, MemberReport answer, long now) {
+  void onOrderAnswer(String gateway, MemberReport answer, long now) {
     NodeState state = states.get(gateway);
     if (state == null) {
       return;
@@ -163,14 +169,17 @@
     }
   }
 
-  /** At first a leader hears all nodes anew, though none of them was away. */
-  private void noteReturn(NodeState state, long now) {
-    if (hearingSinceMillis == NEVER) {
-      hearingSinceMillis = now;
+  /**
+   * Records the return of a node. During the first {@link #AWAY_MILLIS} of a leadership all nodes
+   * are new to the leader, which does not count as a return.
+   */
+  private void recordReturn(NodeState state, long now) {
+    if (firstHeartbeatMillis == NEVER) {
+      firstHeartbeatMillis = now;
     }
-    boolean hearsAllAnew = now - hearingSinceMillis < AWAY_MILLIS;
-    if (!hearsAllAnew && now - state.lastHeardMillis > AWAY_MILLIS) {
-      state.backSinceMillis = now;
+    boolean leadershipIsNew = now - firstHeartbeatMillis < AWAY_MILLIS;
+    if (!leadershipIsNew && now - state.lastHeartbeatMillis > AWAY_MILLIS) {
+      state.returnedMillis = now;
     }
   }
 
@@ -184,84 +193,87 @@
 
   void clear() {
     states.clear();
-    hearingSinceMillis = NEVER;
+    firstHeartbeatMillis = NEVER;
   }
 
-  /** Number of nodes that have a version, or a later one, in force. */
+  /** Returns the number of nodes that have this version or a later one in force. */
   long countWithVersion(long version) {
     return states.values().stream().filter(state -> state.version >= version).count();
   }
 
   /**
-   * Freshest report about a member among the given gateways heard within the allowed silence. A
-   * member's term never declines; of two words on one term the one that was told later is fresher.
+   * Returns the freshest report about a member among the given gateways with a heartbeat within the
+   * given time. Reports of a reachable member come first, then reports of a higher term, since a
+   * member's term never decreases; of two reports with the same term the later one is fresher.
    */
   Optional<MemberReport> freshReport(
-      Iterable<String> gateways, String group, String member, long now, long silenceMillis) {
+      Iterable<String> gateways, String group, String member, long now, long maxAgeMillis) {
     MemberReport best = null;
-    long bestToldMillis = NEVER;
+    long bestReportedMillis = NEVER;
     for (String gateway : gateways) {
       NodeState state = states.get(gateway);
       if (state == null) {
         continue;
       }
       long answeredMillis = state.answeredMillis(group, member);
-      boolean silent = now - Math.max(state.lastHeardMillis, answeredMillis) > silenceMillis;
+      boolean stale = now - Math.max(state.lastHeartbeatMillis, answeredMillis) > maxAgeMillis;
       MemberReport report = state.report(group, member).orElse(null);
-      if (silent || report == null) {
+      if (stale || report == null) {
         continue;
       }
-      long toldMillis = Math.max(state.toldMillis, answeredMillis);
+      long reportedMillis = Math.max(state.reportedMillis, answeredMillis);
       int order = best == null ? 1 : BY_REACH_AND_TERM.compare(report, best);
-      if (order > 0 || (order == 0 && toldMillis > bestToldMillis)) {
+      if (order > 0 || (order == 0 && reportedMillis > bestReportedMillis)) {
         best = report;
-        bestToldMillis = toldMillis;
+        bestReportedMillis = reportedMillis;
       }
     }
     return Optional.ofNullable(best);
   }
 
   /**
-   * What the nodes that were lately heard, and may have connections to a member, say of it.
+   * Reachability of a member as reported by the nodes that may have connections to it and whose
+   * heartbeats are recent. Nodes that have just returned and report the member as unreachable are
+   * left out.
    *
-   * @param heardNodes such nodes heard within the allowed silence, but for those that have just
-   *     come back and call it unreachable
-   * @param reachable those that call it reachable and were heard a moment ago
-   * @param unreachable those that call it unreachable and have not just come back
+   * @param observers number of these nodes
+   * @param reachable number of them that report the member as reachable and whose heartbeat is
+   *     within the shorter age limit for such reports
+   * @param unreachable number of them that report the member as unreachable
    */
-  record Opinion(int heardNodes, int reachable, int unreachable) {}
+  record MemberReachability(int observers, int reachable, int unreachable) {}
 
-  Opinion opinionOf(
+  MemberReachability reachabilityOf(
       String group,
       String member,
       long now,
-      long silenceMillis,
-      long reachableMillis,
+      long maxAgeMillis,
+      long reachableMaxAgeMillis,
       Predicate<String> observes) {
-    int heard = 0;
+    int observers = 0;
     int reachable = 0;
     int unreachable = 0;
     for (Map.Entry<String, NodeState> each : states.entrySet()) {
       NodeState state = each.getValue();
-      if (now - state.lastHeardMillis > silenceMillis || !observes.test(each.getKey())) {
+      if (now - state.lastHeartbeatMillis > maxAgeMillis || !observes.test(each.getKey())) {
         continue;
       }
       MemberReport report = state.report(group, member).orElse(null);
-      boolean callsUnreachable = report != null && !report.reachable();
-      if (callsUnreachable && now - state.backSinceMillis < SETTLING_MILLIS) {
+      boolean reportsUnreachable = report != null && !report.reachable();
+      if (reportsUnreachable && now - state.returnedMillis < SETTLING_MILLIS) {
         continue;
       }
-      heard++;
+      observers++;
       if (report != null && report.reachable()) {
-        reachable += now - state.lastHeardMillis <= reachableMillis ? 1 : 0;
+        reachable += now - state.lastHeartbeatMillis <= reachableMaxAgeMillis ? 1 : 0;
       } else if (report != null) {
         unreachable++;
       }
     }
-    return new Opinion(heard, reachable, unreachable);
+    return new MemberReachability(observers, reachable, unreachable);
   }
 
-  /** Latest place that any node has seen in a member's log. */
+  /** Returns the latest position of a member's log that any node has reported. */
   TermPosition latestReceived(String group, String member) {
     return states.values().stream()
         .flatMap(state -> state.report(group, member).stream())
--- a/server/src/main/java/org/streamcourse/version/control/PlatformWatch.java
+++ b/server/src/main/java/org/streamcourse/version/control/PlatformWatch.java
@@ -9,19 +9,20 @@
 import org.streamcourse.version.image.NodeImage;
 
 /**
- * What the leader does on the word of the platform's list of machines.
+ * The leader's reaction to the platform's list of machines.
  *
- * <p>The list lags, so it is a hint to drain sooner and never a proof of life: a member that it
- * calls leaving is drained, after a planned change if it is primary, once each time it appears
- * there, and only an operator restores it; a node that it calls leaving gets no allowances for as
- * long as the list says so. Nothing is done because a machine is missing from the list.
+ * <p>The list is delayed, so it is only a hint to drain early and never shows that a machine is up.
+ * A member that is listed as leaving is drained once each time it appears in the list, after a
+ * planned change if it is primary; only an operator restores it. A node that is listed as leaving
+ * gets no allowances as long as it is listed. A machine that is missing from the list causes no
+ * action.
  */
 final class PlatformWatch {
-  /** Carries out what the watch decides. */
+  /** Actions of the controller. */
   interface Actions {
     void drain(MemberDrained change, String address);
 
-    /** Makes another member primary; asked again until it is. */
+    /** Makes another member primary; called at each check until this has happened. */
     void handOver(GroupImage group, String address);
   }
 
@@ -33,17 +34,17 @@
     this.actions = actions;
   }
 
-  /** Forgets what was done, as a leadership begins; the list stays. */
+  /** Forgets the drained members when a leadership begins; the list stays. */
   void restart() {
     drained.clear();
   }
 
   /**
-   * Takes in a list.
+   * Sets the machines that are listed as leaving.
    *
-   * @param addresses machines that leave, as {@code IP:PORT} of a member or of a node's links
+   * @param addresses their addresses, as {@code IP:PORT} of a member or of a node's peer links
    */
-  void heard(Set<String> addresses) {
+  void setLeaving(Set<String> addresses) {
     leaving = Set.copyOf(addresses);
     drained.retainAll(leaving);
   }
@@ -52,7 +53,7 @@
     return leaving.contains(node.host() + ':' + node.port());
   }
 
-  /** Drains the members that leave. */
+  /** Drains the members that are listed as leaving. */
   void check(ClusterImage image) {
     if (leaving.isEmpty()) {
       return;
--- a/server/src/main/java/org/streamcourse/version/control/QuotaPlanner.java
+++ b/server/src/main/java/org/streamcourse/version/control/QuotaPlanner.java
@@ -19,43 +19,44 @@
 import org.streamcourse.version.image.TenantRule;
 
 /**
- * The leader's part in the limits of tenants: gives nodes shares of them by what they report, and
- * takes back what is not used.
+ * Divides tenants' limits at the leader: assigns shares of them to nodes according to the reported
+ * demand, and takes back what is not used.
  *
- * <p>A run of a node gets the shares of the node's former runs with the first word that is heard of
- * it. How much of a share is inherited is not agreed: a leader that did not give a share itself
- * takes all of it as inherited while the run is younger than a window.
+ * <p>An incarnation of a node gets the shares of the node's earlier incarnations with its first
+ * report. How much of a share is inherited is not part of the replicated log: a leader that did not
+ * assign a share itself takes all of it as inherited while the incarnation is younger than a
+ * window.
  *
- * <p>Invariant: the shares of a tenant in the agreed table are never more together than its limit
- * in force when they were given. A share is lowered in the table only after its node has lowered
- * it, or a window after a node that is not heard has used it for the last time, {@link
- * #HOLD_MILLIS} after its last word, or in the same change that gives it to a later run of the
- * node.
+ * <p>Invariant: the shares of a tenant in the agreed table never add up to more than the limit that
+ * was in force when they were assigned. A share is lowered in the table only after its node has
+ * lowered it; or a window after an unresponsive node has used it for the last time, which is {@link
+ * #HOLD_MILLIS} after the node's last message; or in the same change that assigns it to a later
+ * incarnation of the node.
  *
  * <p>All methods run on the controller's worker.
  */
 public final class QuotaPlanner {
-  /** Age of the last confirmed heartbeat beyond which a node makes no use of its shares. */
+  /** Age of the last confirmed heartbeat beyond which a node does not use its shares. */
   public static final long HOLD_MILLIS = 11_000;
 
   /**
-   * Time beyond {@link #HOLD_MILLIS} and a window after which a silent node's shares are taken
-   * back; for slow clocks, and operations on their way to members.
+   * Margin added to {@link #HOLD_MILLIS} and a window before the shares of an unresponsive node are
+   * taken back; allows for slow clocks and for operations in transit to members.
    */
-  private static final long GONE_MARGIN_MILLIS = 1_000;
+  private static final long LOST_MARGIN_MILLIS = 1_000;
 
-  /** Time added to a window before it does not matter any more what a former run used. */
+  /** Margin added to a window, after which the usage by earlier incarnations no longer counts. */
   private static final long WINDOW_MARGIN_MILLIS = 200;
 
-  /** Time after which a node that still reports an older share is told again. */
-  private static final long TELL_AGAIN_MILLIS = 80;
+  /** Time after which a share is sent again to a node that still reports an older one. */
+  private static final long RESEND_MILLIS = 80;
 
   private static final long ALL_TENANTS_MILLIS = 1_000;
 
   /** What the planner needs from its controller. */
   public interface Actions {
     /**
-     * Tells the time.
+     * Returns the time.
      *
      * @return the controller's monotonic clock in milliseconds
      */
@@ -64,27 +65,27 @@
     /**
      * Proposes a change to the replicated log.
      *
-     * @param change what to agree on
+     * @param change the change
      */
     void propose(ClusterChange.QuotaGranted change);
 
     /**
-     * Tells a node of its shares.
+     * Sends changed shares to a node.
      *
-     * @param holder the node's run
-     * @param shares what has changed there
-     * @param confirmed whether to wait until the leadership is confirmed; needless for what has
-     *     just been agreed, and for what only lowers a share
+     * @param holder the node's incarnation
+     * @param shares changed shares
+     * @param confirmed whether to wait until the leadership is confirmed; not necessary for shares
+     *     that have just been agreed, and for those that are only lowered
      */
-    void tell(QuotaHolder holder, List<QuotaShare> shares, boolean confirmed);
+    void sendShares(QuotaHolder holder, List<QuotaShare> shares, boolean confirmed);
   }
 
-  private record Told(QuotaShare share, long atMillis) {}
+  private record SentShare(QuotaShare share, long atMillis) {}
 
-  /** What the present run of a node reported, and what it was told. */
+  /** Reports of a node's present incarnation, and the shares sent to it. */
   private static final class NodeState {
     private final Map<TenantId, QuotaDemand> demands = new HashMap<>();
-    private final Map<TenantId, Told> told = new HashMap<>();
+    private final Map<TenantId, SentShare> sentShares = new HashMap<>();
     private final Map<TenantId, Integer> inherited = new HashMap<>();
     private final long run;
     private final long startedMillis;
@@ -96,10 +97,12 @@
     }
   }
 
-  /** A share that is being agreed on, and what of it is inherited. */
+  /** A proposed share, and the inherited part of it. */
   private record Proposed(int operations, int inherited) {}
 
-  /** What nodes reported of a tenant since this leadership began; lost reports are missing. */
+  /**
+   * Totals that nodes have reported for a tenant during this leadership; lost reports are missing.
+   */
   private static final class Totals {
     private long admitted;
     private long refused;
@@ -111,10 +114,10 @@
   }
 
   /**
-   * What the leader knows of a tenant's limit.
+   * Usage of a tenant's limit as known to the leader.
    *
-   * @param budget operations in a window that are shared out; 0 without a limit
-   * @param shared operations in a window that nodes hold
+   * @param budget operations in a window that are divided among nodes; 0 without a limit
+   * @param shared operations in a window that are assigned to nodes
    * @param holders number of shares
    * @param admitted operations admitted since this leadership began
    * @param refused operations refused since this leadership began
@@ -127,7 +130,7 @@
   private final Actions actions;
   private final QuotaTable table;
   private final Map<String, NodeState> nodes = new TreeMap<>();
-  private final Map<String, Long> lastHeard = new HashMap<>();
+  private final Map<String, Long> lastMessageMillis = new HashMap<>();
   private final Map<TenantId, Totals> totals = new HashMap<>();
   private final Set<TenantId> due = new TreeSet<>();
   private final Map<TenantId, Map<QuotaHolder, Proposed>> proposed = new HashMap<>();
@@ -138,9 +141,9 @@
   /**
    * Creates a planner.
    *
-   * @param settings how limits are counted
+   * @param settings settings of tenants' limits
    * @param table the agreed shares
-   * @param actions what it may do
+   * @param actions actions of the controller
    */
   QuotaPlanner(QuotaSettings settings, QuotaTable table, Actions actions) {
     this.settings = settings;
@@ -148,10 +151,10 @@
     this.actions = actions;
   }
 
-  /** Forgets everything that is not agreed, as a leadership begins or ends. */
+  /** Discards all state that is not agreed when a leadership begins or ends. */
   void restart() {
     nodes.clear();
-    lastHeard.clear();
+    lastMessageMillis.clear();
     due.clear();
     proposed.clear();
     totals.clear();
@@ -161,10 +164,10 @@
   }
 
   /**
-   * Tells what is known of a tenant's limit.
+   * Returns the usage of a tenant's limit.
    *
    * @param rule the tenant's rule
-   * @return what nodes hold and have reported
+   * @return shares of nodes and the totals that they reported
    */
   public Usage usage(TenantRule rule) {
     Map<QuotaHolder, QuotaGrant> grants = table.of(rule.id());
@@ -178,25 +181,28 @@
         actions.now() - leadsSince);
   }
 
-  /** A node's heartbeat came; its answer lets the node make use of its shares for a while. */
-  void heartbeat(String node) {
-    lastHeard.put(node, actions.now());
+  /**
+   * Records a node's heartbeat; the reply to it allows the node to use its shares for {@link
+   * #HOLD_MILLIS}.
+   */
+  void onHeartbeat(String node) {
+    lastMessageMillis.put(node, actions.now());
   }
 
-  /** A node told what it needs. */
-  void heard(String node, QuotaReport report) {
+  /** Handles a node's report of its demands. */
+  void onReport(String node, QuotaReport report) {
     long now = actions.now();
-    lastHeard.put(node, now);
+    lastMessageMillis.put(node, now);
     long startedMillis = now - report.ageMillis();
     NodeState state = nodes.get(node);
     if (state == null || state.run != report.run()) {
       if (state != null && startedMillis < state.startedMillis) {
-        // A late word of a former run.
+        // A late report of an earlier incarnation.
         return;
       }
       state = new NodeState(report.run(), startedMillis);
       nodes.put(node, state);
-      meet(node, state);
+      inheritShares(node, state);
     }
     if (report.complete()) {
       due.addAll(state.demands.keySet());
@@ -210,8 +216,11 @@
     }
   }
 
-  /** A run is heard for the first time: it gets what former runs had. */
-  private void meet(String node, NodeState state) {
+  /**
+   * Prepares a node's incarnation at its first report: it inherits the shares of earlier
+   * incarnations.
+   */
+  private void inheritShares(String node, NodeState state) {
     QuotaHolder present = new QuotaHolder(node, state.run);
     for (TenantId tenant : table.tenants()) {
       for (QuotaGrant grant : table.of(tenant).values()) {
@@ -225,15 +234,18 @@
     }
   }
 
-  /** The change proposed last is agreed, and has had an effect unless another one came before. */
+  /**
+   * Handles the agreement on the change that was proposed last; the list is empty if another change
+   * was agreed before it.
+   */
   void applied(List<QuotaGrant> granted) {
     proposing = false;
-    News news = new News();
+    PendingShares pending = new PendingShares();
     for (QuotaGrant grant : granted) {
       due.add(grant.tenant());
       QuotaGrant agreed = table.of(grant.tenant()).get(grant.holder());
       if (agreed != null) {
-        noteInherited(agreed);
+        recordInherited(agreed);
         QuotaShare share =
             new QuotaShare(
                 grant.tenant(),
@@ -242,15 +254,18 @@
                 inherited(agreed),
                 Integer.MAX_VALUE,
                 false);
-        tell(grant.holder(), share, news.safe);
+        addPending(grant.holder(), share, pending.immediate);
       }
     }
     proposed.clear();
-    news.send();
+    pending.send();
   }
 
-  /** What a former leader had proposed may be inherited as a whole. */
-  private void noteInherited(QuotaGrant agreed) {
+  /**
+   * Records the inherited part of an agreed share. A share proposed by a previous leader counts as
+   * inherited as a whole.
+   */
+  private void recordInherited(QuotaGrant agreed) {
     NodeState state = nodes.get(agreed.holder().node());
     if (state == null || state.run != agreed.holder().run()) {
       return;
@@ -260,7 +275,10 @@
     state.inherited.put(agreed.tenant(), known ? own.inherited() : agreed.operations());
   }
 
-  /** Operations of a share that may have been used by former runs in the window that ends now. */
+  /**
+   * Returns the operations of a share that earlier incarnations may have used in the window that
+   * ends now.
+   */
   private int inherited(QuotaGrant grant) {
     NodeState state = nodes.get(grant.holder().node());
     if (state == null || state.run != grant.holder().run()) {
@@ -275,7 +293,10 @@
     return settings.windowMillis() + WINDOW_MARGIN_MILLIS;
   }
 
-  /** Plans for the tenants of which something was heard, and now and then for all. */
+  /**
+   * Plans the shares of tenants with new reports, and those of all tenants each {@link
+   * #ALL_TENANTS_MILLIS}.
+   */
   void check(ClusterImage image) {
     if (proposing || image.document().tenants().isEmpty() && table.tenants().isEmpty()) {
       return;
@@ -284,29 +305,29 @@
       allPlannedMillis = actions.now();
       due.addAll(table.tenants());
     }
-    nodes.keySet().removeIf(this::isGone);
+    nodes.keySet().removeIf(this::isLost);
     List<QuotaGrant> changes = new ArrayList<>();
-    News news = new News();
+    PendingShares pending = new PendingShares();
     for (TenantId tenant : due) {
       int budget = image.document().tenant(tenant).map(this::budget).orElse(0);
-      plan(tenant, budget, changes, news);
+      plan(tenant, budget, changes, pending);
     }
     due.clear();
     if (!changes.isEmpty()) {
       proposing = true;
       actions.propose(table.describe(changes));
     }
-    news.send();
+    pending.send();
   }
 
-  /** What nodes will be told. */
-  private final class News {
-    private final Map<QuotaHolder, List<QuotaShare>> safe = new TreeMap<>();
-    private final Map<QuotaHolder, List<QuotaShare>> toConfirm = new TreeMap<>();
+  /** Shares to send to nodes. */
+  private final class PendingShares {
+    private final Map<QuotaHolder, List<QuotaShare>> immediate = new TreeMap<>();
+    private final Map<QuotaHolder, List<QuotaShare>> afterConfirmation = new TreeMap<>();
 
     private void send() {
-      safe.forEach((holder, shares) -> actions.tell(holder, shares, false));
-      toConfirm.forEach((holder, shares) -> actions.tell(holder, shares, true));
+      immediate.forEach((holder, shares) -> actions.sendShares(holder, shares, false));
+      afterConfirmation.forEach((holder, shares) -> actions.sendShares(holder, shares, true));
     }
   }
 
@@ -314,12 +335,12 @@
     return rule.isLimited() ? settings.budget(rule) : 0;
   }
 
-  private void plan(TenantId tenant, int budget, List<QuotaGrant> changes, News news) {
+  private void plan(TenantId tenant, int budget, List<QuotaGrant> changes, PendingShares pending) {
     Map<QuotaHolder, QuotaGrant> granted = table.of(tenant);
     int reserved = 0;
     for (QuotaGrant grant : granted.values()) {
       if (!isPresent(grant.holder())) {
-        boolean free = nodes.containsKey(grant.holder().node()) || isGone(grant.holder().node());
+        boolean free = nodes.containsKey(grant.holder().node()) || isLost(grant.holder().node());
         reserved += free ? 0 : grant.operations();
         if (free) {
           changes.add(new QuotaGrant(tenant, grant.holder(), 0, 0));
@@ -331,11 +352,11 @@
       QuotaHolder holder = new QuotaHolder(each.getKey(), each.getValue().run);
       QuotaGrant grant = granted.get(holder);
       QuotaDemand demand = each.getValue().demands.get(tenant);
-      int former = ofFormerRuns(holder, granted);
-      if (former > 0 && !(demand == null && each.getValue().complete)) {
-        // Within this change it is taken from the former run.
-        int all = former + (grant == null ? 0 : grant.operations());
-        propose(new QuotaGrant(tenant, holder, 0, all), former, changes);
+      int earlier = heldByEarlierRuns(holder, granted);
+      if (earlier > 0 && !(demand == null && each.getValue().complete)) {
+        // The same change takes the share from the earlier incarnation.
+        int all = earlier + (grant == null ? 0 : grant.operations());
+        propose(new QuotaGrant(tenant, holder, 0, all), earlier, changes);
         reserved += all;
       } else if (demand != null) {
         int held = heldBy(grant, demand);
@@ -347,7 +368,7 @@
       }
     }
     for (QuotaPlan.Share share : QuotaPlan.divide(budget, reserved, needs)) {
-      decide(tenant, share, granted.get(share.holder()), changes, news);
+      decide(tenant, share, granted.get(share.holder()), changes, pending);
     }
   }
 
@@ -356,36 +377,45 @@
     return state != null && state.run == holder.run();
   }
 
-  /** What former runs of a holder's node have; nothing of it may be used any more by them. */
-  private static int ofFormerRuns(QuotaHolder present, Map<QuotaHolder, QuotaGrant> granted) {
+  /**
+   * Returns the operations held by earlier incarnations of a holder's node, which can't use them
+   * any more.
+   */
+  private static int heldByEarlierRuns(QuotaHolder present, Map<QuotaHolder, QuotaGrant> granted) {
     int operations = 0;
     for (QuotaGrant grant : granted.values()) {
-      boolean former =
+      boolean earlier =
           grant.holder().node().equals(present.node()) && grant.holder().run() != present.run();
-      operations += former ? grant.operations() : 0;
+      operations += earlier ? grant.operations() : 0;
     }
     return operations;
   }
 
-  /** Proposes a share that holds so much of former runs, besides what was inherited before. */
-  private void propose(QuotaGrant change, int former, List<QuotaGrant> changes) {
+  /**
+   * Proposes a share that contains the given operations of earlier incarnations, besides those
+   * inherited before.
+   */
+  private void propose(QuotaGrant change, int earlier, List<QuotaGrant> changes) {
     QuotaGrant present = table.of(change.tenant()).get(change.holder());
-    int inherited = former + (present == null ? 0 : inherited(present));
+    int inherited = earlier + (present == null ? 0 : inherited(present));
     changes.add(change);
     proposed
         .computeIfAbsent(change.tenant(), any -> new HashMap<>())
         .put(change.holder(), new Proposed(change.operations(), inherited));
   }
 
-  private long goneMillis() {
-    return HOLD_MILLIS + settings.windowMillis() + GONE_MARGIN_MILLIS;
+  private long lostAfterMillis() {
+    return HOLD_MILLIS + settings.windowMillis() + LOST_MARGIN_MILLIS;
   }
 
-  private boolean isGone(String node) {
-    return actions.now() - lastHeard.getOrDefault(node, leadsSince) > goneMillis();
+  private boolean isLost(String node) {
+    return actions.now() - lastMessageMillis.getOrDefault(node, leadsSince) > lostAfterMillis();
   }
 
-  /** What a node that knows its newest share has lowered it to, else the share itself. */
+  /**
+   * Returns the value to which a node with the newest share has lowered it; for other nodes the
+   * share itself.
+   */
   private static int heldBy(QuotaGrant grant, QuotaDemand demand) {
     if (grant == null) {
       return 0;
@@ -399,10 +429,10 @@
       QuotaPlan.Share share,
       QuotaGrant grant,
       List<QuotaGrant> changes,
-      News news) {
+      PendingShares pending) {
     int agreed = grant == null ? 0 : grant.operations();
     int held = heldBy(grant, nodes.get(share.holder().node()).demands.get(tenant));
-    // What a node has given up comes back only with a new number.
+    // Operations that a node has released are assigned again only with a new number.
     if (share.operations() != agreed || share.operations() > held) {
       propose(new QuotaGrant(tenant, share.holder(), 0, share.operations()), 0, changes);
     }
@@ -412,7 +442,7 @@
     boolean lost = grant == null && demand.held() > 0 && demand.number() < number;
     boolean lower = share.ceiling() < agreed;
     if (unknown || lost || lower || share.exhausted()) {
-      tell(
+      addPending(
           share.holder(),
           new QuotaShare(
               tenant,
@@ -421,23 +451,25 @@
               grant == null ? 0 : inherited(grant),
               share.ceiling(),
               share.exhausted()),
-          unknown ? news.toConfirm : news.safe);
+          unknown ? pending.afterConfirmation : pending.immediate);
     }
   }
 
-  /** Adds to what a node will be told, unless it was told the same a moment ago. */
-  private void tell(QuotaHolder holder, QuotaShare share, Map<QuotaHolder, List<QuotaShare>> news) {
+  /**
+   * Adds a share to those that will be sent to a node, unless the same share was sent within {@link
+   * #RESEND_MILLIS}.
+   */
+  private void addPending(
+      QuotaHolder holder, QuotaShare share, Map<QuotaHolder, List<QuotaShare>> pending) {
     long now = actions.now();
     NodeState state = nodes.get(holder.node());
-    Told before = state == null ? null : state.told.get(share.tenant());
-    boolean repeated =
-        before != null
-            && before.share().equals(share)
-            && now - before.atMillis() < TELL_AGAIN_MILLIS;
-    if (state == null || state.run != holder.run() || repeated) {
+    SentShare before = state == null ? null : state.sentShares.get(share.tenant());
+    boolean sentRecently =
+        before != null && before.share().equals(share) && now - before.atMillis() < RESEND_MILLIS;
+    if (state == null || state.run != holder.run() || sentRecently) {
       return;
     }
-    state.told.put(share.tenant(), new Told(share, now));
-    news.computeIfAbsent(holder, any -> new ArrayList<>()).add(share);
+    state.sentShares.put(share.tenant(), new SentShare(share, now));
+    pending.computeIfAbsent(holder, any -> new ArrayList<>()).add(share);
   }
 }
--- a/server/src/main/java/org/streamcourse/version/control/QuotaTable.java
+++ b/server/src/main/java/org/streamcourse/version/control/QuotaTable.java
@@ -12,26 +12,26 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * Who may run how much of each tenant's limit, as the controllers have agreed. It is no part of the
- * image: a node hears of its own shares only.
+ * The agreed shares of tenants' limits. The table is not part of the image: a node receives only
+ * its own shares.
  */
 final class QuotaTable {
-  /** Numbers that tell of one change. */
+  /** Numbers that describe one change: indexes of the tenant and the holder, and operations. */
   private static final int FIELDS = 3;
 
-  /** Names in the order in which they were given, and the place of each. */
+  /** Tenants or holders in the order in which they were added, with the index of each. */
   private static final class Names<T> {
     private final List<T> all = new ArrayList<>();
-    private final Map<T, Integer> places = new HashMap<>();
+    private final Map<T, Integer> indexes = new HashMap<>();
 
     private void add(T name) {
-      places.put(name, all.size());
+      indexes.put(name, all.size());
       all.add(name);
     }
 
-    /** Place of a name that may be among those that will be added. */
-    private int placeOf(T name, List<T> added) {
-      Integer known = places.get(name);
+    /** Returns the index of a name that is known or among the added ones; adds it if it is not. */
+    private int indexOf(T name, List<T> added) {
+      Integer known = indexes.get(name);
       if (known != null) {
         return known;
       }
@@ -45,17 +45,17 @@
 
     private void restore(List<T> stored) {
       all.clear();
-      places.clear();
+      indexes.clear();
       stored.forEach(this::add);
     }
   }
 
   /**
-   * Stored form.
+   * Snapshot form.
    *
    * @param number number of the newest change
-   * @param tenants tenants in the order in which they were named
-   * @param holders holders in the order in which they were named
+   * @param tenants tenants in the order in which they were added
+   * @param holders holders in the order in which they were added
    * @param grants all shares
    */
   record Stored(
@@ -69,7 +69,7 @@
   private final Names<QuotaHolder> holders = new Names<>();
   private long number;
 
-  /** Number of the newest change. */
+  /** Returns the number of the newest change. */
   long number() {
     return number;
   }
@@ -78,26 +78,29 @@
     return grants.keySet();
   }
 
-  /** Shares of a tenant by holder. */
+  /** Returns the shares of a tenant by holder. */
   Map<QuotaHolder, QuotaGrant> of(TenantId tenant) {
     return grants.getOrDefault(tenant, Map.of());
   }
 
-  /** Puts changes into the form in which they are agreed. */
+  /** Returns changes in the form that goes to the replicated log. */
   ClusterChange.QuotaGranted describe(List<QuotaGrant> changes) {
     List<TenantId> newTenants = new ArrayList<>();
     List<QuotaHolder> newHolders = new ArrayList<>();
     int[] numbers = new int[FIELDS * changes.size()];
     int at = 0;
     for (QuotaGrant change : changes) {
-      numbers[at++] = tenants.placeOf(change.tenant(), newTenants);
-      numbers[at++] = holders.placeOf(change.holder(), newHolders);
+      numbers[at++] = tenants.indexOf(change.tenant(), newTenants);
+      numbers[at++] = holders.indexOf(change.holder(), newHolders);
       numbers[at++] = change.operations();
     }
     return new ClusterChange.QuotaGranted(number, newTenants, newHolders, numbers);
   }
 
-  /** Takes in agreed changes; returns those that have taken effect. */
+  /**
+   * Applies agreed changes; returns those that took effect, which are none if they are based on an
+   * older table.
+   */
   List<QuotaGrant> apply(ClusterChange.QuotaGranted change) {
     List<QuotaGrant> applied = new ArrayList<>();
     if (change.basedOn() != number) {
@@ -130,14 +133,14 @@
     }
   }
 
-  /** All that is needed to go on from here. */
+  /** Returns the snapshot of this table. */
   Stored stored() {
     List<QuotaGrant> all = new ArrayList<>();
     grants.values().forEach(ofTenant -> all.addAll(ofTenant.values()));
     return new Stored(number, new ArrayList<>(tenants.all), new ArrayList<>(holders.all), all);
   }
 
-  /** Goes on from what was stored. */
+  /** Restores a snapshot. */
   void restore(Stored stored) {
     number = stored.number();
     tenants.restore(stored.tenants());
--- a/server/src/main/java/org/streamcourse/version/control/ReplicaFence.java
+++ b/server/src/main/java/org/streamcourse/version/control/ReplicaFence.java
@@ -19,24 +19,25 @@
 /**
  * Finds the replica of a service with synchronous replicas that has every acknowledged commit.
  *
- * <p>A commit is acknowledged once some replicas have received it, which ones is not known. So all
- * replicas are paused first; from then on nothing more is acknowledged, and the log that ends
- * latest among all of them has everything that was. A replica that can't be asked keeps the change
- * from going on, unless it has been silent for so long that it counts as lost.
+ * <p>A commit is acknowledged once a number of replicas have received it; the controllers don't
+ * know which ones. So all replicas are paused first: from then on no commit is acknowledged, and
+ * the log that ends latest among them contains every acknowledged commit. An unreachable replica
+ * blocks the change, unless its heartbeats have been missing for so long that it counts as lost.
  *
- * <p>A replica that starts meanwhile is not paused, and what it receives is acknowledged. So a
- * primary that leaves, and is still there, loses the lead before the choice is made.
+ * <p>A replica that starts during the change is not paused, and the commits that it receives are
+ * acknowledged. So a draining primary that still runs steps down before the choice is made.
  */
 final class ReplicaFence {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicaFence.class);
 
-  private static final long ASK_AGAIN_MILLIS = 300;
+  private static final long PAUSE_RETRY_MILLIS = 300;
 
   /**
-   * Time from the question to the primary until the choice: a replica that has started before it
-   * has registered by then, since a member tells of itself as soon as it runs, and is paused too.
+   * Time from the step-down request to the primary until the choice. A replica that started before
+   * the request has registered by then, since members register as soon as they run, and is paused
+   * too.
    */
-  private static final long JOIN_MILLIS = 300;
+  private static final long REGISTRATION_MILLIS = 300;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -44,9 +45,9 @@
   private final Consumer<Runnable> onWorker;
   private final long term;
   private final Map<MemberId, TermPosition> ends = new TreeMap<>();
-  private final Map<MemberId, Long> askedMillis = new TreeMap<>();
-  private final Set<MemberId> asking = new HashSet<>();
-  private long stepDownMillis = NEVER;
+  private final Map<MemberId, Long> pauseSentMillis = new TreeMap<>();
+  private final Set<MemberId> pausing = new HashSet<>();
+  private long stepDownSentMillis = NEVER;
   private boolean steppedDown;
 
   ReplicaFence(MemberProbe probe, Consumer<Runnable> onWorker, long term) {
@@ -55,27 +56,28 @@
     this.term = term;
   }
 
-  /** Pauses the replicas that are not paused yet. */
+  /** Sends pause requests to the replicas that are not paused yet. */
   void advance(ServiceImage service, long now) {
     for (RegisteredMember member : service.all()) {
       MemberId id = member.id();
-      boolean due = now - askedMillis.getOrDefault(id, now - ASK_AGAIN_MILLIS) >= ASK_AGAIN_MILLIS;
-      if (id.equals(service.primary()) || ends.containsKey(id) || asking.contains(id) || !due) {
+      boolean due =
+          now - pauseSentMillis.getOrDefault(id, now - PAUSE_RETRY_MILLIS) >= PAUSE_RETRY_MILLIS;
+      if (id.equals(service.primary()) || ends.containsKey(id) || pausing.contains(id) || !due) {
         continue;
       }
-      askedMillis.put(id, now);
-      asking.add(id);
-      probe.pause(service.name(), member, term, end -> onWorker.accept(() -> paused(id, end)));
+      pauseSentMillis.put(id, now);
+      pausing.add(id);
+      probe.pause(service.name(), member, term, end -> onWorker.accept(() -> onPaused(id, end)));
     }
   }
 
-  private void paused(MemberId id, Optional<TermPosition> end) {
-    asking.remove(id);
-    end.ifPresent(place -> ends.put(id, place));
+  private void onPaused(MemberId id, Optional<TermPosition> end) {
+    pausing.remove(id);
+    end.ifPresent(position -> ends.put(id, position));
   }
 
   /**
-   * Takes the lead from a primary that leaves; to be called once all replicas are paused.
+   * Makes a draining primary step down; to be called once all replicas are paused.
    *
    * @return true once the choice may be made
    */
@@ -85,10 +87,10 @@
     if (leaving.isEmpty()) {
       return true;
     }
-    if (stepDownMillis == NEVER) {
-      stepDownMillis = now;
+    if (stepDownSentMillis == NEVER) {
+      stepDownSentMillis = now;
       LOG.info(
-          "primary {}/{} leaves and steps down, term {}, replicas paused at {}",
+          "primary {}/{} is draining, requests its step-down at term {}, replicas paused at {}",
           service.name(),
           service.primary(),
           term,
@@ -96,12 +98,12 @@
       probe.stepDown(
           service.name(), leaving.get(), term, () -> onWorker.accept(() -> steppedDown = true));
     }
-    return steppedDown && now - stepDownMillis >= JOIN_MILLIS;
+    return steppedDown && now - stepDownSentMillis >= REGISTRATION_MILLIS;
   }
 
   /**
-   * The member to promote, once every replica that is not lost is paused. The log of a member that
-   * has left is not waited for, since it does not come back.
+   * Returns the member to promote, once every replica that is not lost is paused. A deregistered
+   * member is not waited for, since it does not return.
    */
   Optional<MemberId> latest(ServiceImage service, Predicate<MemberId> lost) {
     for (RegisteredMember member : service.all()) {
@@ -121,14 +123,14 @@
         .map(RegisteredMember::id);
   }
 
-  /** Gives the change up. */
+  /** Abandons the change: resumes the paused replicas. */
   void release(ServiceImage service) {
     service.all().stream()
-        .filter(member -> ends.containsKey(member.id()) || asking.contains(member.id()))
+        .filter(member -> ends.containsKey(member.id()) || pausing.contains(member.id()))
         .forEach(member -> probe.resume(service.name(), member));
   }
 
-  /** What is known, for the record of decisions. */
+  /** Describes the fence, as input of a decision. */
   @Override
   public String toString() {
     return "paused at term " + term + ": " + ends;
--- a/server/src/main/java/org/streamcourse/version/control/ServiceAgents.java
+++ b/server/src/main/java/org/streamcourse/version/control/ServiceAgents.java
@@ -1,10 +1,10 @@
 package org.streamcourse.version.control;
 
 /**
- * The outside that controllers call for services whose members register themselves.
+ * External services that controllers call for services whose members register themselves.
  *
- * @param promotion makes a member primary
- * @param probe asks members
+ * @param promotion agent that makes a member primary
+ * @param probe sends requests to members
  */
 public record ServiceAgents(PromotionAgent promotion, MemberProbe probe) {
   /** For fleets without such services. */
--- a/server/src/main/java/org/streamcourse/version/control/ServiceCall.java
+++ b/server/src/main/java/org/streamcourse/version/control/ServiceCall.java
@@ -4,33 +4,37 @@
 import org.streamcourse.version.image.RegisteredMember;
 import org.streamcourse.version.image.RoutingDocument;
 
-/** What operators and database members ask of the controllers; only the leader carries it out. */
+/** Calls of operators and database members to the controllers; only the leader carries them out. */
 public sealed interface ServiceCall {
   /**
-   * Replaces the routing document. Done once it is agreed, also when a higher version holds.
+   * Replaces the routing document. Answered with {@link Status#DONE} once this version or a higher
+   * one is agreed.
    *
    * @param document new document
    */
   record ReplaceDocument(RoutingDocument document) implements ServiceCall {}
 
-  /** Reads the newest document; answered only by a leader that a majority confirmed meanwhile. */
+  /**
+   * Reads the newest document; answered only by a leader that a majority confirms after the call
+   * has arrived.
+   */
   record FetchDocument() implements ServiceCall {}
 
   /**
-   * A member's sign of life, which also registers it.
+   * A member's heartbeat, which also registers it.
    *
    * @param service service's name
    * @param member the member as it describes itself
-   * @param primary whether it calls itself primary
-   * @param sequence rises with each heartbeat of the member
+   * @param primary whether the member reports that it is primary
+   * @param sequence increases with each heartbeat of the member
    */
   record MemberHeartbeat(String service, RegisteredMember member, boolean primary, long sequence)
       implements ServiceCall {}
 
   /**
-   * A member leaves for good.
+   * A member leaves its service permanently.
    *
-   * @param member its identity
+   * @param member the member's id
    */
   record MemberLeaves(MemberId member) implements ServiceCall {}
 
@@ -38,9 +42,9 @@
   enum Status {
     /** Carried out and agreed. */
     DONE,
-    /** Refused for good; a resend would be refused again. */
+    /** Refused permanently; the same call would be refused again. */
     REFUSED,
-    /** Not known to be carried out; the caller should ask another controller. */
+    /** Possibly not carried out; the caller should try another controller. */
     UNAVAILABLE
   }
 
@@ -48,16 +52,16 @@
    * Outcome of a call.
    *
    * @param status how it ended
-   * @param text the document read, or what is wrong
+   * @param text the document that was read, or the reason for the failure
    */
   record Result(Status status, String text) {
     /** A call that was carried out. */
     public static final Result DONE = new Result(Status.DONE, "");
 
     /**
-     * Creates the outcome of a call that no leader could take.
+     * Creates the outcome of a call that no leader could carry out.
      *
-     * @param why what is missing
+     * @param why reason for the failure
      * @return outcome
      */
     public static Result unavailable(String why) {
--- a/server/src/main/java/org/streamcourse/version/control/ServiceCallRouter.java
+++ b/server/src/main/java/org/streamcourse/version/control/ServiceCallRouter.java
@@ -7,7 +7,7 @@
 import org.streamcourse.version.control.ControlMessage.ForwardedResult;
 import org.streamcourse.version.control.ServiceCall.Result;
 
-/** Brings calls of operators and members to the leader, from whichever controller they reached. */
+/** Forwards calls of operators and members to the leader, whichever controller received them. */
 public final class ServiceCallRouter {
   private static final long FORWARD_TIMEOUT_MILLIS = 5_000;
 
@@ -18,7 +18,7 @@
    * Creates a router.
    *
    * @param worker the controller's worker
-   * @param network way to other controllers
+   * @param network sends messages to other controllers
    * @param controller this controller
    */
   public ServiceCallRouter(Worker worker, PeerNetwork network, Controller controller) {
@@ -36,27 +36,28 @@
   /**
    * Carries out a call here or at the leader.
    *
-   * @param call what is asked
-   * @param answer gets the outcome, at most once, on any thread; none comes when the leader changes
+   * @param call the call
+   * @param answer receives the outcome, at most once, on any thread; not called when the leader
+   *     changes
    */
   public void execute(ServiceCall call, Consumer<Result> answer) {
     forwarder.execute(call, answer);
   }
 
   /**
-   * Handles a message of another controller.
+   * Handles a message from another controller.
    *
-   * @param peer sender
-   * @param message what arrived
+   * @param peer name of the sender
+   * @param message the message
    */
   public void receive(String peer, Object message) {
     if (message instanceof ForwardedCall forwarded) {
-      forwarder.forwardedHere(
+      forwarder.executeForwarded(
           forwarded.call(),
           result -> network.send(peer, new ForwardedResult(forwarded.callId(), result)),
           Result.unavailable("the leader has changed"));
     } else if (message instanceof ForwardedResult forwarded) {
-      forwarder.answered(forwarded.callId(), forwarded.result());
+      forwarder.onResponse(forwarded.callId(), forwarded.result());
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/version/control/ServiceSupervisor.java
+++ b/server/src/main/java/org/streamcourse/version/control/ServiceSupervisor.java
@@ -30,41 +30,41 @@
 import org.streamcourse.version.image.ServiceImage;
 
 /**
- * The leader's work for services whose members register themselves: it takes the operators'
- * document and the members' signs of life, and has a new primary ordered when the present one is
- * unreachable or leaves.
+ * The leader's supervision of services whose members register themselves: handles the operators'
+ * documents and the members' heartbeats, and orders a new primary when the present one is
+ * unreachable or draining.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>A call is answered as done only once the image, as agreed, shows its effect.
- *   <li>An order is given only after it is agreed; its fence is the version of the image that
- *       includes it, so fences rise over all leaders and no two orders share one.
+ *   <li>A call is answered as done only once the agreed image contains its effect.
+ *   <li>An order is sent only after it is agreed. Its fence is the version of the image that
+ *       contains it, so fences increase over all leaders and each order has its own.
  * </ul>
  *
  * All methods run on the controller's worker.
  */
 final class ServiceSupervisor {
-  /** Time without an answer after which an order is given anew. */
+  /** Time without an answer after which an order is sent again. */
   private static final long ORDER_ANSWER_MILLIS = 1_000;
 
-  /** Time that a target of an accepted order has to call itself primary. */
+  /** Time in which the target of an accepted order has to report that it is primary. */
   private static final long TAKEOVER_MILLIS = 4_000;
 
-  /** Age beyond which a member's word that it is primary no longer counts. */
+  /** Age beyond which a member's claim that it is primary no longer counts. */
   private static final long CLAIM_MILLIS = 4_000;
 
-  /** Silence after which a replica counts as lost for good, so that a change may go on without. */
+  /** Time without a heartbeat after which a replica is lost, and a change continues without it. */
   private static final long REPLICA_LOST_MILLIS = 15_000;
 
   /**
-   * Time within which every member that runs has told a new leader of itself: their heartbeats come
-   * every 1,200 ms. A replica that started while no controller could be told receives all the same,
-   * and what it has received is acknowledged, so it must be paused before the choice.
+   * Time within which a new leader has received a heartbeat of every running member; members send
+   * one each 1,200 ms. A replica that started while no controller was reachable still receives
+   * records, which are acknowledged, so it must be paused before the choice.
    */
-  private static final long MEMBERS_TELL_MILLIS = 1_500;
+  private static final long REGISTRATION_MILLIS = 1_500;
 
-  /** Time that replicas have to receive what they lack; some ways between regions and a disk. */
+  /** Time for replicas to receive missing records: trips between regions and a disk write. */
   private static final long CATCH_UP_MILLIS = 500;
 
   /** Pause after a refused order. */
@@ -73,8 +73,8 @@
   /** Time after the start of a leadership before a service without a known primary gets one. */
   private static final long PRIMARY_UNKNOWN_MILLIS = 3_000;
 
-  /** Whom an answer waits for. */
-  private record Waiting(Predicate<ClusterImage> done, Consumer<Result> answer) {}
+  /** A call that is answered once the image fulfills a condition. */
+  private record PendingCall(Predicate<ClusterImage> done, Consumer<Result> answer) {}
 
   /** State of the order that is open for one service. */
   private static final class OpenOrder {
@@ -90,8 +90,8 @@
   private final ControlSettings settings;
   private final PromotionAgent agent;
   private final MemberProbe probe;
-  private final MemberSigns signs = new MemberSigns();
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final MemberHeartbeats heartbeats = new MemberHeartbeats();
+  private final List<PendingCall> pendingCalls = new ArrayList<>();
   private final Map<String, OpenOrder> orders = new HashMap<>();
   private final Map<String, ReplicaFence> fences = new HashMap<>();
   private final Set<String> withoutTarget = new HashSet<>();
@@ -117,10 +117,10 @@
     this.onWorker = onWorker;
   }
 
-  /** Forgets everything, as a leadership begins or ends. */
+  /** Discards all state when a leadership begins or ends. */
   void restart() {
-    signs.clear();
-    waiting.clear();
+    heartbeats.clear();
+    pendingCalls.clear();
     orders.clear();
     fences.clear();
     withoutTarget.clear();
@@ -159,8 +159,8 @@
   void memberHeartbeat(ClusterImage image, MemberHeartbeat call, Consumer<Result> answer) {
     RegisteredMember member = call.member();
     ServiceImage service = image.service(call.service());
-    boolean becamePrimary = signs.isNewPrimary(call);
-    boolean late = service.departed().contains(member.id()) || !signs.heard(call, actions.now());
+    boolean becamePrimary = heartbeats.isNewPrimary(call);
+    boolean late = service.departed().contains(member.id()) || !heartbeats.put(call, actions.now());
     if (late) {
       answer.accept(Result.DONE);
       return;
@@ -181,15 +181,15 @@
 
   private void register(
       ClusterImage image, String service, RegisteredMember next, RegisteredMember known) {
-    removeFormerAt(image, next);
+    removeOthersAt(image, next);
     String outcome = known == null ? "registered" : next.draining() ? "draining" : "changed";
     actions.decided(
         Decision.Kind.MEMBER, service + '/' + next.id(), "its heartbeat", next.toString(), outcome);
     actions.propose(new MemberRegistered(service, next));
   }
 
-  /** An address belongs to the member that registered there last. */
-  private void removeFormerAt(ClusterImage image, RegisteredMember next) {
+  /** Removes members whose address is now used by the member that registered there last. */
+  private void removeOthersAt(ClusterImage image, RegisteredMember next) {
     for (ServiceImage service : image.services().values()) {
       for (RegisteredMember other : service.all()) {
         boolean sameAddress = other.host().equals(next.host()) && other.port() == next.port();
@@ -201,14 +201,14 @@
   }
 
   private void remove(String service, MemberId id, String cause) {
-    signs.forget(id);
+    heartbeats.forget(id);
     actions.decided(Decision.Kind.MEMBER, service + '/' + id, cause, "", "removed");
     actions.propose(new MemberDeregistered(service, id));
   }
 
   /**
-   * A member that has become primary is the primary. Of one that may have been it before, a late
-   * heartbeat counts for nothing while the known primary says that it is.
+   * Records a new primary: a member that became primary since its last heartbeat, or was ordered
+   * to. Another claim may be outdated and is ignored while the known primary claims the role too.
    */
   private void observePrimary(ServiceImage service, MemberHeartbeat call, boolean becamePrimary) {
     MemberId id = call.member().id();
@@ -216,7 +216,7 @@
       return;
     }
     boolean expected = becamePrimary || service.promotion().equals(id);
-    if (!expected && signs.claimsPrimary(service.primary(), actions.now(), CLAIM_MILLIS)) {
+    if (!expected && heartbeats.claimsPrimary(service.primary(), actions.now(), CLAIM_MILLIS)) {
       return;
     }
     actions.decided(
@@ -239,7 +239,7 @@
     }
     String name = service.get().name();
     whenAgreed(image, next -> next.service(name).member(call.member()).isEmpty(), answer);
-    remove(name, call.member(), "it leaves");
+    remove(name, call.member(), "it leaves the service");
   }
 
   private void whenAgreed(
@@ -247,35 +247,35 @@
     if (done.test(image)) {
       answer.accept(Result.DONE);
     } else {
-      waiting.add(new Waiting(done, answer));
+      pendingCalls.add(new PendingCall(done, answer));
     }
   }
 
-  /** Answers the calls whose effect is agreed now, and gives an agreed order. */
+  /** Answers the calls whose effect is now agreed, and sends an agreed order. */
   void applied(ClusterChange change, ClusterImage image) {
-    for (Waiting each : List.copyOf(waiting)) {
+    for (PendingCall each : List.copyOf(pendingCalls)) {
       if (each.done().test(image)) {
-        waiting.remove(each);
+        pendingCalls.remove(each);
         each.answer().accept(Result.DONE);
       }
     }
     if (change instanceof PromotionOrdered ordered) {
       ServiceImage service = image.service(ordered.service());
       if (service.promotion().equals(ordered.target()) && service.fence() == image.version()) {
-        give(service);
+        sendOrder(service);
       }
     } else if (change instanceof PrimaryObserved observed) {
       orders.remove(observed.service());
-      // A primary that was chosen without an order has not resumed its replicas.
+      // Replicas stay paused when a member became primary without an order.
       releaseFence(image.service(observed.service()));
     }
   }
 
   // ---- changes of primary ----
 
-  /** Looks after the primary of each service. */
+  /** Checks the primary of each service. */
   void check(ClusterImage image) {
-    observers.use(image);
+    observers.setImage(image);
     for (ServiceImage service : image.services().values()) {
       boolean synchronous =
           image.document().service(service.name()).stream()
@@ -286,12 +286,12 @@
 
   private void checkPrimary(ServiceImage service, boolean synchronous) {
     OpenOrder open = orders.get(service.name());
-    if (open != null && !mayOrderAgain(service, open)) {
+    if (open != null && !mayOrder(service, open)) {
       return;
     }
     String cause = causeForChange(service);
     if (cause.isEmpty()) {
-      giveUp(service);
+      abandonChange(service);
       if (synchronous) {
         resumeOnce(service);
       }
@@ -303,7 +303,7 @@
       return;
     }
     withoutTarget.remove(service.name());
-    if (open != null && open.target.equals(target.get()) && isUnderWay(open)) {
+    if (open != null && open.target.equals(target.get()) && isInProgress(open)) {
       return;
     }
     OpenOrder next = new OpenOrder();
@@ -335,20 +335,19 @@
           service.name(),
           cause,
           inputs(service),
-          "waits for a member that may lead");
+          "waits for a member that may become primary");
     }
   }
 
-  /** The primary is well again before a change was ordered. */
-  private void giveUp(ServiceImage service) {
+  /** Abandons a change that was not ordered yet, since the primary is reachable again. */
+  private void abandonChange(ServiceImage service) {
     withoutTarget.remove(service.name());
     releaseFence(service);
   }
 
   /**
-   * A leader before this one may have paused replicas and been replaced before it promoted one;
-   * with all of them paused no write is acknowledged. While an agreed order is open they stay
-   * paused.
+   * Resumes the replicas once in a leadership, unless an agreed order is open: a previous leader
+   * may have paused them and not promoted one, and while all are paused no write is acknowledged.
    */
   private void resumeOnce(ServiceImage service) {
     if (!service.promotion().isPresent() && resumed.add(service.name())) {
@@ -380,14 +379,14 @@
       return Optional.empty();
     }
     boolean deposed = latest.isPresent() && fence.hasDeposed(service, actions.now());
-    boolean allHaveTold = actions.now() - leadsSince >= MEMBERS_TELL_MILLIS;
-    return deposed && allHaveTold ? latest : Optional.empty();
+    boolean allRegistered = actions.now() - leadsSince >= REGISTRATION_MILLIS;
+    return deposed && allRegistered ? latest : Optional.empty();
   }
 
   /**
-   * Whether members that stay can still receive from a primary that leaves what only another
-   * leaving member has. Promoting that one would need the next change at once, and each change
-   * keeps those that stay from receiving.
+   * Returns whether the remaining members can still receive missing records from the primary, while
+   * the latest log is that of a draining member. Promoting the latter would require another change
+   * at once, and each change interrupts the replication to the remaining members.
    */
   private boolean mayCatchUp(ServiceImage service, MemberId latest) {
     boolean primaryServes =
@@ -397,21 +396,23 @@
   }
 
   private boolean isLost(MemberId id) {
-    return signs.silenceMillis(id, actions.now(), leadsSince) > REPLICA_LOST_MILLIS;
+    return heartbeats.millisSinceHeartbeat(id, actions.now(), leadsSince) > REPLICA_LOST_MILLIS;
   }
 
-  /** Whether another target may be chosen; the same one is only ordered anew after its time. */
-  private boolean mayOrderAgain(ServiceImage service, OpenOrder open) {
+  /**
+   * Returns whether an order may follow: the open one has timed out or its target is unavailable.
+   */
+  private boolean mayOrder(ServiceImage service, OpenOrder open) {
     boolean targetGone =
         service.member(open.target).isEmpty() || isUnreachable(service, open.target);
-    return targetGone || !isUnderWay(open);
+    return targetGone || !isInProgress(open);
   }
 
-  private boolean isUnderWay(OpenOrder open) {
+  private boolean isInProgress(OpenOrder open) {
     return actions.now() < open.nextStepMillis;
   }
 
-  /** Why the service needs another primary; empty when it needs none. */
+  /** Returns the reason why the service needs another primary; empty when it needs none. */
   private String causeForChange(ServiceImage service) {
     if (service.all().isEmpty()) {
       return "";
@@ -420,41 +421,40 @@
     if (primary.isEmpty()) {
       boolean claimed =
           service.all().stream()
-              .anyMatch(each -> signs.claimsPrimary(each.id(), actions.now(), CLAIM_MILLIS));
+              .anyMatch(each -> heartbeats.claimsPrimary(each.id(), actions.now(), CLAIM_MILLIS));
       boolean wait =
           !service.departed().contains(service.primary())
               && actions.now() - leadsSince < PRIMARY_UNKNOWN_MILLIS;
       return claimed || wait ? "" : "no primary is known";
     }
     if (primary.get().draining()) {
-      return "the primary leaves";
+      return "the primary is draining";
     }
     return isUnreachable(service, service.primary()) ? "the primary is unreachable" : "";
   }
 
   /**
-   * Whether all nodes that lately told of a member call it unreachable, and at least half of the
-   * nodes heard that hold connections to it have told so.
+   * Returns whether a member counts as unreachable: no node has recently reported it as reachable,
+   * and at least half of the nodes that observe it report it as unreachable.
    */
   private boolean isUnreachable(ServiceImage service, MemberId id) {
-    NodeRegistry.Opinion opinion =
-        registry.opinionOf(
+    NodeRegistry.MemberReachability reachability =
+        registry.reachabilityOf(
             service.name(),
             id.value(),
             actions.now(),
             settings.gatewaySilenceMillis(),
             settings.heartbeatMillis() * 3 / 2,
             observers.of(service, id));
-    return opinion.reachable() == 0
-        && opinion.unreachable() > 0
-        && 2 * opinion.unreachable() >= opinion.heardNodes();
+    return reachability.reachable() == 0
+        && reachability.unreachable() > 0
+        && 2 * reachability.unreachable() >= reachability.observers();
   }
 
   /**
-   * The member whose log ends latest among those that stay and are not known to be unreachable. A
-   * former primary that is not known to follow the present one is left out, since it would bring
-   * back records that callers could not see meanwhile; it counts again once the present primary has
-   * been silent for so long that it is lost for good.
+   * Returns the member whose log ends latest among those neither draining nor unreachable. A former
+   * primary that may not follow the present one is left out, since it would bring back dropped
+   * records that clients could not read in the meantime, until the present primary counts as lost.
    */
   private Optional<MemberId> chooseTarget(ServiceImage service) {
     return service.all().stream()
@@ -467,20 +467,20 @@
         .map(RegisteredMember::id);
   }
 
-  private void give(ServiceImage service) {
+  private void sendOrder(ServiceImage service) {
     OpenOrder open = orders.computeIfAbsent(service.name(), any -> new OpenOrder());
     open.target = service.promotion();
     open.fence = service.fence();
     open.nextStepMillis = actions.now() + ORDER_ANSWER_MILLIS;
     Order order = new Order(service.name(), open.target, open.fence);
-    agent.order(order, outcome -> onWorker.accept(() -> ordered(order, outcome)));
+    agent.order(order, outcome -> onWorker.accept(() -> onOutcome(order, outcome)));
   }
 
-  private void ordered(Order order, Outcome outcome) {
+  private void onOutcome(Order order, Outcome outcome) {
     actions.decided(
         Decision.Kind.PROMOTION,
         order.service(),
-        "answer of the outside agent",
+        "answer of the promotion agent",
         "target " + order.target() + ", fence " + order.fence(),
         outcome.toString());
     OpenOrder open = orders.get(order.service());
--- a/server/src/main/java/org/streamcourse/version/control/Switchover.java
+++ b/server/src/main/java/org/streamcourse/version/control/Switchover.java
@@ -12,19 +12,20 @@
  * A planned change of primary.
  *
  * <p>Steps: the primary's gateways hold new writes until no transaction is open; the target is
- * fenced at the next term once it has received all that the primary wrote, and the other replicas
- * at once; when a majority with the target is fenced, one entry in the replicated log opens the
- * term and names the target.
+ * fenced at the next term once it has received all records of the primary, and the other replicas
+ * at once; when a majority that includes the target is fenced, one entry in the replicated log
+ * opens the term and names the new primary.
  *
- * <p>Why the fences may come before the log: a fenced member only refuses older terms, and nobody
- * is promoted without the entry. Of two leaders that fence at the same term the log takes one
- * entry, and both find the same ends of the fenced logs. A leader that is lost on the way leaves
- * members at a term above the image; the next one sees that in their reports and opens the term.
+ * <p>Members may be fenced before the term is in the replicated log, since a fenced member only
+ * refuses older terms, and no member is promoted without the entry. If two leaders fence at the
+ * same term, the replicated log accepts one of their entries, and both have seen the same ends of
+ * the fenced logs. If a leader is lost during the change, members are fenced at a term above the
+ * image's; the next leader finds this in their reports and opens the term.
  */
 final class Switchover {
   private final String target;
   private final long term;
-  private final long startedAt;
+  private final long startedAtMillis;
   private final MemberOrders orders;
   private final FencedMembers fenced;
   private final Set<String> heldGateways = new HashSet<>();
@@ -32,10 +33,10 @@
   private boolean fencing;
   private boolean proposed;
 
-  Switchover(GroupImage image, String target, long startedAt, MemberOrders orders) {
+  Switchover(GroupImage image, String target, long startedAtMillis, MemberOrders orders) {
     this.target = target;
     this.term = image.term();
-    this.startedAt = startedAt;
+    this.startedAtMillis = startedAtMillis;
     this.orders = orders;
     this.fenced = new FencedMembers(image.term() + 1);
   }
@@ -44,31 +45,34 @@
     return target;
   }
 
-  /** Term of the primary that is to be replaced. */
+  /** Returns the term of the primary that is to be replaced. */
   long term() {
     return term;
   }
 
-  /** Term that is to be opened. */
+  /** Returns the term that is to be opened. */
   long nextTerm() {
     return fenced.term();
   }
 
-  long startedAt() {
-    return startedAt;
+  long startedAtMillis() {
+    return startedAtMillis;
   }
 
-  /** Whether members may be fenced already, so that releasing the writes does not undo all. */
+  /**
+   * Returns whether members may be fenced already, so that releasing the writes does not undo the
+   * change.
+   */
   boolean isFencing() {
     return fencing;
   }
 
-  /** Members fenced so far, for the record of decisions. */
+  /** Returns the members fenced so far, as input of a decision. */
   FencedMembers fenced() {
     return fenced;
   }
 
-  /** Gives the orders of the present step. */
+  /** Sends the orders of the present step. */
   void advance(GroupImage image) {
     MemberImage primary = image.primaryMember().orElseThrow();
     if (!heldGateways.containsAll(primary.gateways())) {
@@ -79,7 +83,7 @@
     for (MemberImage member : image.members()) {
       boolean isTarget = member.name().equals(target);
       boolean isPrimary = member.name().equals(primary.name());
-      // The target still receives from the primary until it is fenced itself.
+      // The primary is fenced after the target, which receives the primary's records until then.
       boolean mayBeFenced = !isPrimary || fenced.contains(target);
       if (mayBeFenced && !fenced.contains(member.name())) {
         TermPosition awaited = isTarget ? heldAt : TermPosition.ZERO;
@@ -88,18 +92,21 @@
     }
   }
 
-  /** A gateway of the primary has no open transaction any more; its log stands at a place. */
-  void held(String gateway, TermPosition position) {
+  /**
+   * Called when a gateway of the primary has no open transaction; the position is the end of the
+   * primary's log.
+   */
+  void onWritesHeld(String gateway, TermPosition position) {
     heldGateways.add(gateway);
     heldAt = heldAt.max(position);
   }
 
   /**
-   * A member is fenced at the next term.
+   * Called when a member is fenced at the next term.
    *
-   * @return the member to hand over to, once, when the fenced members decide that
+   * @return the new primary, once, when the fenced members are a majority that includes the target
    */
-  Optional<String> fenced(GroupImage image, String member, TermPosition end, long now) {
+  Optional<String> onFenced(GroupImage image, String member, TermPosition end, long now) {
     fenced.add(image, member, end, now);
     if (proposed || !fenced.isMajority(image) || !fenced.contains(target)) {
       return Optional.empty();
