--- a/server/src/main/java/org/streamcourse/version/control/package-info.java
+++ b/server/src/main/java/org/streamcourse/version/control/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the controllers decide with the replicated log (admission, allowances, changes of primary,
- * configuration) and what a node does with the versions it is told.
+ * Control plane: the decisions of controllers by means of the replicated log (admission of nodes,
+ * allowances, changes of primary, configuration), and the node's agent that installs the resulting
+ * versions.
  */
 package org.streamcourse.version.control;
--- a/server/src/main/java/org/streamcourse/version/language/AdminViews.java
+++ b/server/src/main/java/org/streamcourse/version/language/AdminViews.java
@@ -171,7 +171,7 @@
               node.placement().zone(),
               Long.toString(node.incarnation()),
               Boolean.toString(node.draining()),
-              controller.silenceOf(node.name()).map(String::valueOf).orElse("")));
+              controller.millisSinceHeartbeat(node.name()).map(String::valueOf).orElse("")));
     }
     return new View(
         List.of("node", "address", "region", "zone", "incarnation", "draining", "silent_ms"), rows);
--- a/server/src/test/java/org/streamcourse/process/ControlFleet.java
+++ b/server/src/test/java/org/streamcourse/process/ControlFleet.java
@@ -116,7 +116,7 @@
             ControlSettings.DEFAULT,
             controllerNames,
             self);
-    agent.beforeHeartbeat(() -> reportSomeMembers(agent));
+    agent.setHeartbeatPreparation(() -> reportSomeMembers(agent));
     links.attach(
         name,
         new PeerHandler() {
--- a/server/src/test/java/org/streamcourse/process/explain/ExplainTest.java
+++ b/server/src/test/java/org/streamcourse/process/explain/ExplainTest.java
@@ -135,6 +135,28 @@
     }
   }
 
+  @Test
+  public void listsTheImageMessagesOfPresentAndOlderBuilds() throws IOException {
+    List<String> messages =
+        List.of(
+            "requests the image of p2, 80 ms after the start",
+            "installs the stored image of p2, version 7, document version 3, 95 ms after the start",
+            "confirmed by the controllers, image version 7, document version 3, 95 ms unconfirmed",
+            "asks p2 for its image, 80 ms after the start",
+            "takes a stored image of p2, version 7, document version 3, after 95 ms",
+            "confirmed by the controllers, image version 7, document version 3, after 120 ms");
+    for (String message : messages) {
+      log(
+          "p1",
+          line("18.000", "image version 7", ""),
+          line("19.000", message, ""),
+          line("20.000", "request attempt", "\"request\":\"" + ID + "\",\"step\":\"admit\""));
+      Explanation found = new RequestExplainer(logs).explain(ID);
+      assertEquals(found.steps().size(), 2, message);
+      assertTrue(found.lines().stream().anyMatch(each -> each.contains(message)), message);
+    }
+  }
+
   @Test
   public void unknownIdIsRefused() throws IOException {
     logAFailedWrite();
--- a/server/src/test/java/org/streamcourse/version/control/AllowancePlannerTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/AllowancePlannerTest.java
@@ -14,7 +14,10 @@
 import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 
-/** Gateways are placed near their member, move little, and never get more than its limits. */
+/**
+ * Gateways are chosen near their member, change little when a node is added, and never get
+ * allowances above the member's limits.
+ */
 public class AllowancePlannerTest {
   private static final int CONNECTIONS = 41;
   private static final int SLOTS = 5;
@@ -39,7 +42,7 @@
   }
 
   @Test
-  public void aNewNodeMovesOnlyWhatItGains() {
+  public void aNewNodeMovesOnlyTheAllowancesItGains() {
     List<NodeImage> before = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       before.add(node(i, "z1"));
@@ -53,14 +56,14 @@
       List<NodeImage> now = AllowancePlanner.chooseGateways("g", member, after);
       List<NodeImage> kept = new ArrayList<>(now);
       kept.remove(after.get(20));
-      assertTrue(old.containsAll(kept), "nothing moves between nodes that were there before");
+      assertTrue(old.containsAll(kept), "no allowance moves between nodes that were there before");
       moved += now.size() - kept.size();
     }
-    assertTrue(moved > 20 && moved < 90, "1000 parts on 21 nodes, so about 48 move: " + moved);
+    assertTrue(moved > 20 && moved < 90, "1000 allowances on 21 nodes, so about 48 move: " + moved);
   }
 
   @Test
-  public void partsNeverAddUpToMoreThanTheLimitsWhileTheyMove() {
+  public void allowancesNeverExceedTheLimitsWhileTheyMove() {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
     List<Allowance> held = List.of();
     for (int step = 0; step < 2_000; step++) {
@@ -73,18 +76,18 @@
       boolean released = random.nextBoolean();
       List<Allowance> before = held;
       Optional<List<Allowance>> next =
-          AllowancePlanner.plan(member("m", held), chosen, part -> released);
+          AllowancePlanner.plan(member("m", held), chosen, allowance -> released);
       held = next.orElse(held);
       assertTrue(held.stream().mapToInt(Allowance::connections).sum() <= CONNECTIONS);
       assertTrue(held.stream().mapToInt(Allowance::slots).sum() <= SLOTS);
       if (!released) {
-        assertNothingGrows(before, held);
+        assertNoAllowanceGrows(before, held);
       }
     }
   }
 
-  /** Before all nodes have released what they lost, parts may only shrink. */
-  private static void assertNothingGrows(List<Allowance> before, List<Allowance> after) {
+  /** Until all nodes keep to their reduced allowances, allowances may only decrease. */
+  private static void assertNoAllowanceGrows(List<Allowance> before, List<Allowance> after) {
     if (before.isEmpty()) {
       return;
     }
--- a/server/src/test/java/org/streamcourse/version/control/BufferedHeartbeatsTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/BufferedHeartbeatsTest.java
@@ -17,11 +17,12 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * After a loss of all power, each node asks all six controllers for what is stored, each 120 ms;
- * the image crosses regions only for nodes that their own region does not give one.
+ * After a power loss of all machines, each node without an image sends a heartbeat to all six
+ * controllers each 120 ms. Guards against stored images sent between regions to nodes that their
+ * own region can serve, and against an image for each heartbeat.
  */
 public class BufferedHeartbeatsTest {
-  private static final long ASK_MILLIS = 120;
+  private static final long HEARTBEAT_MILLIS = 120;
   private static final Placement HERE = new Placement("r1", "r1-a");
   private static final Placement NEAR = new Placement("r1", "r1-b");
   private static final Placement FAR = new Placement("r2", "r2-a");
@@ -29,39 +30,39 @@
   private final VirtualTimeScheduler clock = VirtualTimeScheduler.create();
   private final List<Long> sentAt = new ArrayList<>();
 
-  private List<Long> timesTold(Placement controller, Placement node, int heartbeats) {
+  private List<Long> imageTimes(Placement controller, Placement node, int heartbeats) {
     sentAt.clear();
     SchedulerWorker worker = SchedulerWorker.onSchedulerClock(clock);
     long start = worker.now();
     BufferedHeartbeats bufferedHeartbeats =
         new BufferedHeartbeats(worker, (peer, message) -> sentAt.add(worker.now() - start));
     bufferedHeartbeats.setPlacement(controller);
-    bufferedHeartbeats.started();
+    bufferedHeartbeats.onStart();
     RoutingDocument document =
         new RoutingDocument(1, List.of(), List.of(), SessionLimits.DEFAULT, List.of(), "v1");
     ClusterImage stored = ClusterImage.EMPTY.apply(new ClusterChange.DocumentReplaced(document));
     for (int i = 0; i < heartbeats; i++) {
       NodeImage self = new NodeImage("n:1", 1, "n", 1, node, false);
-      bufferedHeartbeats.heard(
+      bufferedHeartbeats.add(
           "n:1", new NodeHeartbeat(self, i + 1, 0, 0, false, 0, true, List.of()), stored);
-      clock.advanceTimeBy(Duration.ofMillis(ASK_MILLIS));
+      clock.advanceTimeBy(Duration.ofMillis(HEARTBEAT_MILLIS));
     }
     return List.copyOf(sentAt);
   }
 
   @Test
-  public void aNodeOfTheOwnRegionIsToldAtOnceAndNotWithEachHeartbeat() {
-    assertEquals(timesTold(HERE, NEAR, 6), List.of(0L, 480L));
+  public void aNodeOfTheSameRegionGetsTheImageAtOnceButNotForEachHeartbeat() {
+    assertEquals(imageTimes(HERE, NEAR, 6), List.of(0L, 480L));
   }
 
   @Test
-  public void aNodeOfAnotherRegionIsToldOnlyWhenItGoesOnAsking() {
-    assertEquals(timesTold(HERE, FAR, 3), List.of());
-    assertEquals(timesTold(HERE, FAR, 4), List.of(360L));
+  public void aNodeOfAnotherRegionGetsTheImageOnlyAfterFurtherHeartbeats() {
+    assertEquals(imageTimes(HERE, FAR, 3), List.of());
+    assertEquals(imageTimes(HERE, FAR, 4), List.of(360L));
   }
 
   @Test
-  public void aControllerThatDoesNotKnowItsPlacementTellsAll() {
-    assertEquals(timesTold(null, FAR, 1), List.of(0L));
+  public void aControllerWithoutAPlacementSendsTheImageToAllRegions() {
+    assertEquals(imageTimes(null, FAR, 1), List.of(0L));
   }
 }
--- a/server/src/test/java/org/streamcourse/version/control/GroupSupervisorTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/GroupSupervisorTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the leader makes of a promoted member's word when heartbeats are lost. */
+/** Supervision of a promoted or fenced member's reports when heartbeats are lost. */
 public class GroupSupervisorTest {
   private static final String GROUP = "bookings";
   private static final Placement PLACEMENT = new Placement("r", "z");
@@ -73,7 +73,7 @@
         @Override
         public void decided(
             Decision.Kind kind, String subject, String cause, String inputs, String outcome) {
-          // Not looked at.
+          // Not checked.
         }
       };
 
@@ -90,12 +90,12 @@
   }
 
   private static final MemberStatus FENCED = status(TERM, MemberRole.FENCED, "");
-  private static final MemberStatus LEADS = status(TERM, MemberRole.PRIMARY, "");
+  private static final MemberStatus PRIMARY = status(TERM, MemberRole.PRIMARY, "");
   private static final MemberStatus FOLLOWS = status(TERM, MemberRole.REPLICA, "m1");
 
-  /** A member was chosen a moment ago; both of its gateways have seen it fenced. */
+  /** A member has just been chosen; both of its gateways have reported it as fenced. */
   @BeforeMethod
-  public void aMemberIsChosen() {
+  public void createSupervisor() {
     now = CHOSEN_AT;
     sequence = 0;
     orderIds = 0;
@@ -111,7 +111,7 @@
 
   private void heartbeat(String node, String member, MemberStatus status) {
     sequence++;
-    registry.heard(
+    registry.onHeartbeat(
         new NodeHeartbeat(
             new NodeImage(node, 1, "127.0.0.1", 1, PLACEMENT, false),
             sequence,
@@ -138,20 +138,21 @@
         .count();
   }
 
-  // Guards against: a gateway's older word outranked the newer one of another gateway, so a
-  // primary that had taken over was promoted again and replaced (simulator, switchover seed 63).
+  // Guards against: a gateway's older report took precedence over a newer one of another gateway,
+  // so a primary that had taken over was promoted again and replaced (simulator, switchover seed
+  // 63).
   @Test
-  public void aPromotedMemberIsBelievedThoughTheHeartbeatsOfOneGatewayAreLost() {
+  public void aPromotedMemberStaysPrimaryThoughTheHeartbeatsOfOneGatewayAreLost() {
     checkUntil(CHOSEN_AT + 200);
     heartbeat("p1", "m1", FENCED);
     checkUntil(CHOSEN_AT + 500);
     long before = count("m1", OrderKind.PROMOTE);
-    heartbeat("p4", "m1", LEADS);
+    heartbeat("p4", "m1", PRIMARY);
     checkUntil(CHOSEN_AT + 900);
-    heartbeat("p4", "m1", LEADS);
+    heartbeat("p4", "m1", PRIMARY);
     heartbeat("p2", "m2", FOLLOWS);
     checkUntil(CHOSEN_AT + 1_400);
-    heartbeat("p4", "m1", LEADS);
+    heartbeat("p4", "m1", PRIMARY);
     checkUntil(CHOSEN_AT + SETTINGS.promotionMillis() + 2 * STEP_MILLIS);
     assertEquals(proposed, List.of());
     assertEquals(count("m1", OrderKind.PROMOTE), before);
@@ -162,14 +163,14 @@
     supervisor.orderResult(image, new MemberOrderResult(last, true, status, ""));
   }
 
-  // Guards against: the answer to a promotion was ignored, so that with lost heartbeats the member
+  // Guards against: the result of a promotion was ignored, so that with lost heartbeats the member
   // was promoted again each 250 ms and then replaced.
   @Test
-  public void theAnswerToAPromotionIsTheMembersOwnWord() {
+  public void theResultOfAPromotionCountsAsAReport() {
     checkUntil(CHOSEN_AT + 100);
     heartbeat("p1", "m1", FENCED);
     checkUntil(CHOSEN_AT + 150);
-    answerLast(LEADS);
+    answerLast(PRIMARY);
     checkUntil(CHOSEN_AT + 1_000);
     heartbeat("p2", "m2", FOLLOWS);
     checkUntil(CHOSEN_AT + SETTINGS.promotionMillis() + 2 * STEP_MILLIS);
@@ -177,35 +178,36 @@
     assertEquals(count("m1", OrderKind.PROMOTE), 1);
   }
 
-  // Guards against: the answer to an order to follow was ignored, so that the order went out again.
+  // Guards against: the result of an order to follow was ignored, so that the order was sent again.
   @Test
-  public void theAnswerToAnOrderToFollowIsTheMembersOwnWord() {
+  public void theResultOfAnOrderToFollowCountsAsAReport() {
     heartbeat("p2", "m2", FENCED);
     heartbeat("p5", "m2", FENCED);
-    heartbeat("p4", "m1", LEADS);
+    heartbeat("p4", "m1", PRIMARY);
     supervisor.check(image);
     answerLast(FOLLOWS);
     checkUntil(CHOSEN_AT + 1_000);
     assertEquals(count("m2", OrderKind.FOLLOW), 1);
   }
 
-  // Guards against: an answer that comes after a newer word of the same gateway takes its place.
+  // Guards against: a late result of an order replaces a newer report of the same gateway.
   @Test
-  public void anAnswerOfAnOlderTermDoesNotReplaceANewerWord() {
+  public void aResultOfAnOlderTermDoesNotReplaceANewerReport() {
     supervisor.check(image);
     heartbeat("p1", "m1", status(TERM + 1, MemberRole.FENCED, ""));
     heartbeat("p4", "m1", status(TERM + 1, MemberRole.FENCED, ""));
-    answerLast(LEADS);
+    answerLast(PRIMARY);
     supervisor.check(image);
     assertEquals(proposed, List.of(new ClusterChange.TermOpened(GROUP, TERM + 1)));
   }
 
-  // Guards against: what a gateway knew last counts as the member's word though it did not answer.
+  // Guards against: the status in a failed result counts as a report of the member, though it did
+  // not answer.
   @Test
-  public void anOrderThatFailedIsNotTheMembersWord() {
+  public void aFailedResultDoesNotCountAsAReport() {
     supervisor.check(image);
     long last = orders.get(orders.size() - 1).orderId();
-    supervisor.orderResult(image, new MemberOrderResult(last, false, LEADS, "no answer"));
+    supervisor.orderResult(image, new MemberOrderResult(last, false, PRIMARY, "no answer"));
     checkUntil(CHOSEN_AT + 300);
     assertEquals(count("m1", OrderKind.PROMOTE), 2);
   }
@@ -218,10 +220,11 @@
     }
   }
 
-  // Guards against: the primary that a planned change has fenced was taken for one that is lost,
-  // so that the change was turned into an unplanned one.
+  // Guards against: a primary fenced by a planned change counted as lost, so that the planned
+  // change
+  // became an unplanned one.
   @Test
-  public void aPrimaryFencedByAPlannedChangeIsNotTakenForLost() {
+  public void aPrimaryFencedByAPlannedChangeDoesNotCountAsLost() {
     List<MemberImage> members = new ArrayList<>(image.members());
     for (int number = 3; number <= 5; number++) {
       members.add(member("m" + number, "p2", "p5"));
@@ -229,13 +232,13 @@
     GroupImage five = new GroupImage(GROUP, TERM, "m1", members, GroupRules.DEFAULT);
     supervisor.check(five);
     now += SETTINGS.promotionMillis() + 2 * STEP_MILLIS;
-    heartbeat("p1", "m1", LEADS);
-    heartbeat("p4", "m1", LEADS);
+    heartbeat("p1", "m1", PRIMARY);
+    heartbeat("p4", "m1", PRIMARY);
     heartbeat("p2", "m2", FOLLOWS);
     heartbeat("p5", "m3", FOLLOWS);
     assertEquals(supervisor.startSwitchover(five, "m2"), Optional.empty());
     supervisor.check(five);
-    answer(five, "m1", OrderKind.HOLD_WRITES, LEADS);
+    answer(five, "m1", OrderKind.HOLD_WRITES, PRIMARY);
     MemberStatus fencedAhead = status(TERM + 1, MemberRole.FENCED, "");
     answer(five, "m2", OrderKind.FENCE, fencedAhead);
     answer(five, "m1", OrderKind.FENCE, fencedAhead);
--- a/server/src/test/java/org/streamcourse/version/control/ImageStoreTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/ImageStoreTest.java
@@ -15,7 +15,9 @@
 import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 
-/** A node finds the newest image again, whenever it ends. */
+/**
+ * The newest stored image is loaded after a stop at any point, also with a partially written delta.
+ */
 public class ImageStoreTest {
   private static final int VERSIONS = 3_000;
 
@@ -31,7 +33,7 @@
   }
 
   @Test
-  public void everyVersionIsFoundAgain() {
+  public void theNewestVersionIsLoaded() {
     ClusterImage image = ClusterImage.EMPTY;
     int largest = 0;
     for (int i = 0; i < VERSIONS; i++) {
@@ -43,7 +45,8 @@
       }
       largest = Math.max(largest, disk.list().stream().mapToInt(n -> disk.read(n).length).sum());
     }
-    assertTrue(largest < 200_000, "the deltas are folded in from time to time: " + largest);
+    assertTrue(
+        largest < 200_000, "the deltas are merged into the image from time to time: " + largest);
   }
 
   @Test
@@ -57,7 +60,7 @@
     byte[] deltas = torn.read("image-deltas");
     torn.replace("image-deltas", Arrays.copyOf(deltas, deltas.length - 1));
     assertEquals(new ImageStore(torn, codec).load(), one);
-    // As after a crash between writing the whole image and deleting the deltas.
+    // State after a crash between writing the whole image and deleting the deltas.
     torn.replace("image-deltas", deltas);
     assertEquals(new ImageStore(torn, codec).load(), two);
   }
--- a/server/src/test/java/org/streamcourse/version/control/NodeAdmissionTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/NodeAdmissionTest.java
@@ -18,7 +18,10 @@
 import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 
-/** Allowances reach their goal also when nothing but heartbeats happens any more. */
+/**
+ * Guards against: allowances that were reduced are never increased again when only heartbeats
+ * follow and no new version of the image.
+ */
 public class NodeAdmissionTest {
   private static final String GROUP = "bookings";
   private static final Placement PLACEMENT = new Placement("r", "z");
@@ -40,7 +43,7 @@
 
         @Override
         public void sendOrder(String gateway, MemberOrder order) {
-          throw new AssertionError("admission gives no orders");
+          throw new AssertionError("admission sends no orders");
         }
 
         @Override
@@ -51,7 +54,7 @@
         @Override
         public void decided(
             Decision.Kind kind, String subject, String cause, String inputs, String outcome) {
-          // Not looked at.
+          // Not checked.
         }
       };
 
@@ -74,30 +77,32 @@
   }
 
   @Test
-  public void withdrawnPartsAreGivenAgainOnceTheyAreHeldThoughNoVersionFollows() {
+  public void reducedAllowancesAreIncreasedOnceNodesKeepToThemThoughNoVersionFollows() {
     NodeRegistry registry = new NodeRegistry();
     NodeAdmission admission =
         new NodeAdmission(ControlSettings.DEFAULT, registry, node -> false, actions);
     admission.restart(0);
-    List<String> wanted =
+    List<String> gateways =
         AllowancePlanner.chooseGateways(
                 GROUP, image(List.of()).group(GROUP).orElseThrow().members().get(0), nodes())
             .stream()
             .map(NodeImage::name)
             .toList();
-    List<Allowance> withdrawn = wanted.stream().map(name -> new Allowance(name, 0, 0)).toList();
-    wanted.forEach(name -> registry.heard(heartbeat(name, VERSION - 1), 900, true));
-    admission.check(image(withdrawn));
-    assertEquals(proposed, List.of(), "the nodes may still hold what was withdrawn");
-    wanted.forEach(name -> registry.heard(heartbeat(name, VERSION), 950, true));
-    admission.check(image(withdrawn));
+    List<Allowance> reduced = gateways.stream().map(name -> new Allowance(name, 0, 0)).toList();
+    gateways.forEach(name -> registry.onHeartbeat(heartbeat(name, VERSION - 1), 900, true));
+    admission.check(image(reduced));
+    assertEquals(
+        proposed, List.of(), "the nodes may still have connections above the reduced allowances");
+    gateways.forEach(name -> registry.onHeartbeat(heartbeat(name, VERSION), 950, true));
+    admission.check(image(reduced));
     assertEquals(
         proposed,
         List.of(
             new ClusterChange.AllowancesSet(
                 GROUP,
                 "m1",
-                List.of(new Allowance(wanted.get(0), 4, 2), new Allowance(wanted.get(1), 4, 2)))));
+                List.of(
+                    new Allowance(gateways.get(0), 4, 2), new Allowance(gateways.get(1), 4, 2)))));
   }
 
   private static List<NodeImage> nodes() {
--- a/server/src/test/java/org/streamcourse/version/control/NodeAgentTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/NodeAgentTest.java
@@ -19,19 +19,19 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** How a node that starts finds a controller that knows what is agreed. */
+/** Heartbeats of a starting node without an image, and the repetition of lost reports. */
 public class NodeAgentTest {
   private static final List<String> CONTROLLERS = List.of("c1:1", "c2:1", "c3:1");
   private static final long TWO_ROUNDS_MILLIS = 130;
 
   @Test
-  public void aNodeWithoutAnImageAsksAllControllersOften() {
+  public void aNodeWithoutAnImageSendsHeartbeatsToAllControllersOften() {
     VirtualTimeScheduler clock = VirtualTimeScheduler.create();
-    List<String> asked = new ArrayList<>();
+    List<String> receivers = new ArrayList<>();
     NodeAgent agent =
         new NodeAgent(
             SchedulerWorker.onSchedulerClock(clock),
-            (peer, message) -> asked.add(peer),
+            (peer, message) -> receivers.add(peer),
             new MemoryDisk(),
             StreamTypes.codec(),
             ControlSettings.DEFAULT,
@@ -40,13 +40,13 @@
     agent.start();
     clock.advanceTimeBy(Duration.ofMillis(TWO_ROUNDS_MILLIS));
     for (String controller : CONTROLLERS) {
-      int times = Collections.frequency(asked, controller);
-      assertTrue(times >= 2, controller + " was asked " + times + " times");
+      int times = Collections.frequency(receivers, controller);
+      assertTrue(times >= 2, controller + " received " + times + " heartbeats");
     }
   }
 
   @Test
-  public void aReportInALostHeartbeatGoesAlongAgainThoughAnEarlierHeartbeatIsAnswered() {
+  public void aReportInALostHeartbeatIsSentAgainThoughAnEarlierHeartbeatIsAnswered() {
     VirtualTimeScheduler clock = VirtualTimeScheduler.create();
     List<NodeHeartbeat> sent = new ArrayList<>();
     NodeAgent agent =
@@ -68,7 +68,7 @@
     MemberReport report = new MemberReport("s", "m", false, status);
     agent.report(report, true);
     clock.advanceTimeBy(Duration.ofMillis(10));
-    assertEquals(last(sent).reports(), List.of(report), "told at once, and lost");
+    assertEquals(last(sent).reports(), List.of(report), "sent at once, and lost");
     answer(agent, earlier);
     clock.advanceTimeBy(Duration.ofMillis(ControlSettings.DEFAULT.heartbeatMillis()));
     assertEquals(last(sent).reports(), List.of(report));
--- a/server/src/test/java/org/streamcourse/version/control/NodeRegistryTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/NodeRegistryTest.java
@@ -10,7 +10,7 @@
 import org.streamcourse.version.image.TermPosition;
 import org.testng.annotations.Test;
 
-/** What the leader believes of nodes whose heartbeats change their order, or that start again. */
+/** Evaluation of reports when heartbeats arrive out of order, and when nodes restart or return. */
 public class NodeRegistryTest {
   private static final NodeImage NODE =
       new NodeImage("n:1", 1, "n", 1, new Placement("r", "z"), false);
@@ -24,55 +24,55 @@
   }
 
   private static int reachable(NodeRegistry registry, long now) {
-    return registry.opinionOf("s", "m", now, 1_500, 750, node -> true).reachable();
+    return registry.reachabilityOf("s", "m", now, 1_500, 750, node -> true).reachable();
   }
 
   @Test
-  public void aHeartbeatThatWasOvertakenTellsNothing() {
+  public void aReorderedHeartbeatChangesNoReport() {
     NodeRegistry registry = new NodeRegistry();
-    registry.heard(heartbeat(46, false), 1_000, false);
-    registry.heard(heartbeat(45, true), 1_010, false);
+    registry.onHeartbeat(heartbeat(46, false), 1_000, false);
+    registry.onHeartbeat(heartbeat(45, true), 1_010, false);
     assertEquals(reachable(registry, 1_020), 0);
   }
 
   @Test
-  public void aNodeThatHasStartedAgainCountsAnew() {
+  public void aRestartedNodeBeginsANewSequence() {
     NodeRegistry registry = new NodeRegistry();
-    registry.heard(heartbeat(46, false), 1_000, false);
-    registry.heard(heartbeat(1, true), 1_700, false);
+    registry.onHeartbeat(heartbeat(46, false), 1_000, false);
+    registry.onHeartbeat(heartbeat(1, true), 1_700, false);
     assertEquals(reachable(registry, 1_710), 1);
   }
 
   private static int unreachable(NodeRegistry registry, long now) {
-    return registry.opinionOf("s", "m", now, 1_500, 750, node -> true).unreachable();
+    return registry.reachabilityOf("s", "m", now, 1_500, 750, node -> true).unreachable();
   }
 
   @Test
-  public void theWordOfANodeThatHasJustComeBackDoesNotCountAgainstAMember() {
+  public void anUnreachableReportOfANodeThatHasJustReturnedIsIgnored() {
     NodeRegistry registry = new NodeRegistry();
-    registry.heard(heartbeat(1, true), 1_000, false);
-    registry.heard(heartbeat(2, false), 8_000, false);
+    registry.onHeartbeat(heartbeat(1, true), 1_000, false);
+    registry.onHeartbeat(heartbeat(2, false), 8_000, false);
     assertEquals(unreachable(registry, 8_010), 0);
-    registry.heard(heartbeat(3, false), 8_900, false);
+    registry.onHeartbeat(heartbeat(3, false), 8_900, false);
     assertEquals(unreachable(registry, 9_010), 1);
   }
 
   @Test
-  public void theWordOfANodeThatWasRemovedMeanwhileDoesNotCountEither() {
+  public void anUnreachableReportOfANodeThatWasRemovedMeanwhileIsIgnored() {
     NodeRegistry registry = new NodeRegistry();
-    registry.heard(heartbeat(1, true), 1_000, false);
+    registry.onHeartbeat(heartbeat(1, true), 1_000, false);
     registry.forget(NODE.name());
-    registry.heard(heartbeat(2, false), 8_000, false);
+    registry.onHeartbeat(heartbeat(2, false), 8_000, false);
     assertEquals(unreachable(registry, 8_010), 0);
-    assertEquals(registry.opinionOf("s", "m", 8_010, 1_500, 750, node -> true).heardNodes(), 0);
+    assertEquals(registry.reachabilityOf("s", "m", 8_010, 1_500, 750, node -> true).observers(), 0);
   }
 
   @Test
-  public void aNewLeaderBelievesTheFirstWordOfAllNodes() {
+  public void aNewLeaderCountsTheFirstReportOfAllNodes() {
     NodeRegistry registry = new NodeRegistry();
-    registry.heard(heartbeat(1, true), 1_000, false);
+    registry.onHeartbeat(heartbeat(1, true), 1_000, false);
     registry.clear();
-    registry.heard(heartbeat(2, false), 8_000, false);
+    registry.onHeartbeat(heartbeat(2, false), 8_000, false);
     assertEquals(unreachable(registry, 8_010), 1);
   }
 
@@ -92,25 +92,25 @@
         .role();
   }
 
-  // Guards against: of two gateways' words on one term that of the first in order counted, however
-  // old it was.
+  // Guards against: of two gateways' reports on one term the one of the first gateway counted,
+  // however old it was.
   @Test
-  public void ofTwoWordsOnOneTermTheNewerCounts() {
+  public void ofTwoReportsOnOneTermTheNewerCounts() {
     NodeRegistry registry = new NodeRegistry();
-    registry.heard(heartbeatOf("p1", 1, MemberRole.FENCED), 1_000, false);
-    registry.heard(heartbeatOf("p4", 1, MemberRole.PRIMARY), 1_400, false);
+    registry.onHeartbeat(heartbeatOf("p1", 1, MemberRole.FENCED), 1_000, false);
+    registry.onHeartbeat(heartbeatOf("p4", 1, MemberRole.PRIMARY), 1_400, false);
     assertEquals(roleOf(registry, 1_500), MemberRole.PRIMARY);
-    registry.heard(heartbeatOf("p1", 2, MemberRole.FENCED), 1_600, false);
+    registry.onHeartbeat(heartbeatOf("p1", 2, MemberRole.FENCED), 1_600, false);
     assertEquals(roleOf(registry, 1_700), MemberRole.FENCED);
   }
 
-  // Guards against: a heartbeat that was overtaken makes the word of its node the newest.
+  // Guards against: a reordered heartbeat makes the report of its node the newest.
   @Test
-  public void anOvertakenHeartbeatDoesNotMakeAWordNewer() {
+  public void aReorderedHeartbeatDoesNotMakeAReportNewer() {
     NodeRegistry registry = new NodeRegistry();
-    registry.heard(heartbeatOf("p1", 2, MemberRole.FENCED), 1_000, false);
-    registry.heard(heartbeatOf("p4", 1, MemberRole.PRIMARY), 1_100, false);
-    registry.heard(heartbeatOf("p1", 1, MemberRole.FENCED), 1_200, false);
+    registry.onHeartbeat(heartbeatOf("p1", 2, MemberRole.FENCED), 1_000, false);
+    registry.onHeartbeat(heartbeatOf("p4", 1, MemberRole.PRIMARY), 1_100, false);
+    registry.onHeartbeat(heartbeatOf("p1", 1, MemberRole.FENCED), 1_200, false);
     assertEquals(roleOf(registry, 1_300), MemberRole.PRIMARY);
   }
 }
--- a/server/src/test/java/org/streamcourse/version/control/QuotaFaults.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaFaults.java
@@ -2,25 +2,28 @@
 
 import org.streamcourse.version.control.QuotaWorld.Node;
 
-/** What happens in a {@link QuotaWorld}. */
+/** Faults and changes in a {@link QuotaWorld}. */
 enum QuotaFaults {
-  /** Nothing. */
+  /** No faults. */
   NONE {
     @Override
     void plan(QuotaWorld world) {
-      // A calm day.
+      // No faults.
     }
   },
-  /** Nodes are cut off, restarted and frozen; the leader changes; all nodes restart; a limit. */
+  /**
+   * Nodes are cut off, restarted and frozen; the leader changes; all nodes restart; a limit is
+   * lowered.
+   */
   MANY {
     @Override
     void plan(QuotaWorld world) {
-      planForNodes(world);
-      world.at(sometime(world), () -> world.changeLeader(500 + world.random.nextLong(6_000)));
+      planNodeFaults(world);
+      world.at(randomTime(world), () -> world.changeLeader(500 + world.random.nextLong(6_000)));
       world.at(
-          sometime(world),
-          () -> world.nodes.forEach(node -> world.restart(node, 500 + some(world, 1_000))));
-      world.at(sometime(world), () -> lowerALimit(world));
+          randomTime(world),
+          () -> world.nodes.forEach(node -> world.restart(node, 500 + randomBelow(world, 1_000))));
+      world.at(randomTime(world), () -> lowerALimit(world));
     }
   },
   /** A limit is lowered to a quarter. */
@@ -37,7 +40,7 @@
       world.at(LOSS_AT_MILLIS, () -> world.changeLeader(7_000));
     }
   },
-  /** All machines lose power for 1.5 s, and the controllers lead 2.3 s later. */
+  /** All machines lose power for 1.5 s; a controller becomes leader 2.3 s later. */
   POWER {
     @Override
     void plan(QuotaWorld world) {
@@ -48,12 +51,15 @@
   POWER_TWICE {
     @Override
     void plan(QuotaWorld world) {
-      planForNodes(world);
-      long first = sometime(world);
-      world.at(first, () -> world.losePower(200 + some(world, 1_500), some(world, 2_500)));
-      long second = first + 600 + some(world, 6_000);
-      world.at(second, () -> world.losePower(200 + some(world, 1_500), some(world, 2_500)));
-      world.at(sometime(world), () -> lowerALimit(world));
+      planNodeFaults(world);
+      long first = randomTime(world);
+      world.at(
+          first, () -> world.losePower(200 + randomBelow(world, 1_500), randomBelow(world, 2_500)));
+      long second = first + 600 + randomBelow(world, 6_000);
+      world.at(
+          second,
+          () -> world.losePower(200 + randomBelow(world, 1_500), randomBelow(world, 2_500)));
+      world.at(randomTime(world), () -> lowerALimit(world));
     }
   },
   /** Half of the nodes lose power for a second. */
@@ -86,20 +92,23 @@
   private static final long LOSS_AT_MILLIS = 15_000;
 
   /**
-   * Plans what happens.
+   * Schedules the faults.
    *
-   * @param world the world, before it begins
+   * @param world the world, before its start
    */
   abstract void plan(QuotaWorld world);
 
-  private static void planForNodes(QuotaWorld world) {
+  private static void planNodeFaults(QuotaWorld world) {
     for (Node node : world.nodes) {
       switch (world.random.nextInt(6)) {
-        case 0 -> world.at(sometime(world), () -> world.cut(node, 1_000 + some(world, 20_000)));
-        case 1 -> world.at(sometime(world), () -> world.restart(node, 500 + some(world, 2_000)));
-        case 2 -> world.at(sometime(world), () -> world.freeze(node, 200 + some(world, 6_000)));
+        case 0 ->
+            world.at(randomTime(world), () -> world.cut(node, 1_000 + randomBelow(world, 20_000)));
+        case 1 ->
+            world.at(randomTime(world), () -> world.restart(node, 500 + randomBelow(world, 2_000)));
+        case 2 ->
+            world.at(randomTime(world), () -> world.freeze(node, 200 + randomBelow(world, 6_000)));
         default -> {
-          // Nothing happens to this one.
+          // No fault at this node.
         }
       }
     }
@@ -113,11 +122,11 @@
     world.replaceDocument();
   }
 
-  private static long some(QuotaWorld world, long most) {
+  private static long randomBelow(QuotaWorld world, long most) {
     return world.random.nextLong(most);
   }
 
-  private static long sometime(QuotaWorld world) {
-    return 5_000 + some(world, QuotaWorld.LENGTH_MILLIS - 10_000);
+  private static long randomTime(QuotaWorld world) {
+    return 5_000 + randomBelow(world, QuotaWorld.LENGTH_MILLIS - 10_000);
   }
 }
--- a/server/src/test/java/org/streamcourse/version/control/QuotaPlanTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaPlanTest.java
@@ -18,7 +18,7 @@
 import org.streamcourse.version.image.TenantId;
 import org.testng.annotations.Test;
 
-/** How a limit is divided, and how the division is agreed. */
+/** Division of a limit among nodes, and the table of agreed shares. */
 public class QuotaPlanTest {
   private static final TenantId TENANT = new TenantId("t");
 
@@ -31,7 +31,7 @@
   }
 
   @Test
-  public void sharesAreNeverMoreThanTheLimit() {
+  public void sharesNeverExceedTheLimit() {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(1);
     for (int round = 0; round < 10_000; round++) {
       int budget = random.nextInt(200);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  public void whileThereIsPlentyEachGetsRoomForMore() {
+  public void whileLittleIsAssignedSharesIncludeHeadroom() {
     List<Share> shares = QuotaPlan.divide(1_000, 0, List.of(need(1, 0, 30, 2), need(2, 0, 0, 1)));
     assertTrue(shares.get(0).operations() > 32);
     assertTrue(shares.get(1).operations() > 1);
@@ -66,14 +66,17 @@
   @Test
   public void aTenantAboveItsLimitIsServedFairly() {
     List<Share> shares = QuotaPlan.divide(96, 0, List.of(need(1, 95, 95, 200), need(2, 0, 0, 3)));
-    assertEquals(shares.get(1).operations(), 1, "what is free");
-    assertEquals(shares.get(0).ceiling(), 93, "the large one gives back what the small one needs");
+    assertEquals(shares.get(1).operations(), 1, "the unassigned rest of the limit");
+    assertEquals(
+        shares.get(0).ceiling(),
+        93,
+        "the node with the large share releases what the other one needs");
     assertTrue(shares.get(0).exhausted());
     assertFalse(shares.get(1).exhausted());
   }
 
   @Test
-  public void aTableGoesOnFromWhatWasStored() {
+  public void aRestoredTableAppliesChangesLikeTheOriginal() {
     QuotaTable table = new QuotaTable();
     table.apply(
         table.describe(
@@ -93,9 +96,12 @@
     assertEquals(restored.of(TENANT).keySet(), java.util.Set.of(holder(2)));
   }
 
-  /** Names are given by place, so a change that was made before another one must not count. */
+  /**
+   * A change refers to tenants and holders by their index, so it is invalid once another change has
+   * been applied.
+   */
   @Test
-  public void aChangeMadeBeforeAnotherOneHasNoEffect() {
+  public void aChangeBasedOnAnOlderTableHasNoEffect() {
     QuotaTable table = new QuotaTable();
     ClusterChange.QuotaGranted first =
         table.describe(List.of(new QuotaGrant(TENANT, holder(1), 0, 4)));
--- a/server/src/test/java/org/streamcourse/version/control/QuotaWay.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaScheme.java
@@ -3,27 +3,27 @@
 import org.streamcourse.request.quota.QuotaPacing;
 import org.streamcourse.request.quota.QuotaServerOrder;
 
-/** How a node of a {@link QuotaWorld} decides. */
-enum QuotaWay {
-  /** The same part of the limit for each node, for ever. */
+/** Scheme by which the nodes of a {@link QuotaWorld} enforce limits. */
+enum QuotaScheme {
+  /** A constant equal part of the limit for each node. */
   EQUAL_PARTS(null, false),
-  /** Shares by demand for each node, agreed among the controllers. */
+  /** Shares for each node by demand, agreed by the controllers. */
   SHARES(null, false),
-  /** The same, used at a pace. */
+  /** Shares for each node by demand, spread over the window by pacing. */
   PACED_SHARES(null, true),
-  /** Shares for one quota server in each region, used at once. */
+  /** Shares for one quota server in each region, without pacing. */
   REGION_HOMES(QuotaServerOrder.Scope.REGION, false),
-  /** Shares for one quota server in each region, used at a pace. */
+  /** Shares for one quota server in each region, with pacing. */
   PACED_REGION_HOMES(QuotaServerOrder.Scope.REGION, true),
-  /** Shares for one quota server in each zone, used at a pace. */
+  /** Shares for one quota server in each zone, with pacing. */
   PACED_ZONE_HOMES(QuotaServerOrder.Scope.ZONE, true),
-  /** Shares for one quota server, used at a pace. */
+  /** Shares for one quota server in the fleet, with pacing. */
   PACED_FLEET_HOMES(QuotaServerOrder.Scope.FLEET, true);
 
   final QuotaServerOrder.Scope scope;
   final QuotaPacing pacing;
 
-  QuotaWay(QuotaServerOrder.Scope scope, boolean paced) {
+  QuotaScheme(QuotaServerOrder.Scope scope, boolean paced) {
     this.scope = scope;
     this.pacing =
         paced
--- a/server/src/test/java/org/streamcourse/version/control/QuotaFigures.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaStatistics.java
@@ -2,14 +2,14 @@
 
 import java.util.Arrays;
 
-/** What a {@link QuotaWorld} measures. */
-final class QuotaFigures {
-  private static final int MOST_WAIT_MICROS = 600_000;
+/** Statistics of a {@link QuotaWorld}. */
+final class QuotaStatistics {
+  private static final int MAX_WAIT_MICROS = 600_000;
   private static final int WAIT_STEP_MICROS = 100;
 
   long offered;
 
-  /** What the greedy tenant ran, as part of its limit; summed over worlds. */
+  /** Operations of the greedy tenant as a fraction of its limit; summed over worlds. */
   double greedyUse;
 
   long refusedBelowLimit;
@@ -24,28 +24,28 @@
   long offeredAfterLoss;
   long admittedAfterLoss;
   double highestUse;
-  private final int[] waits = new int[MOST_WAIT_MICROS / WAIT_STEP_MICROS + 1];
+  private final int[] waits = new int[MAX_WAIT_MICROS / WAIT_STEP_MICROS + 1];
 
   void waited(long micros) {
     waitedMicros += micros;
-    waits[(int) Math.min(MOST_WAIT_MICROS, micros) / WAIT_STEP_MICROS]++;
+    waits[(int) Math.min(MAX_WAIT_MICROS, micros) / WAIT_STEP_MICROS]++;
   }
 
-  /** Milliseconds that a part of the admitted operations waited at most. */
-  double waitOf(double part) {
+  /** Returns the quantile of the waiting times of admitted operations, in milliseconds. */
+  double waitOf(double quantile) {
     long all = Arrays.stream(waits).asLongStream().sum();
     long counted = 0;
     for (int i = 0; i < waits.length; i++) {
       counted += waits[i];
-      if (counted >= part * all) {
+      if (counted >= quantile * all) {
         return i * WAIT_STEP_MICROS / 1_000.0;
       }
     }
-    return MOST_WAIT_MICROS / 1_000.0;
+    return MAX_WAIT_MICROS / 1_000.0;
   }
 
-  /** Adds another world's figures. */
-  void add(QuotaFigures other) {
+  /** Adds the statistics of another world. */
+  void add(QuotaStatistics other) {
     offered += other.offered;
     greedyUse += other.greedyUse;
     refusedBelowLimit += other.refusedBelowLimit;
--- a/server/src/test/java/org/streamcourse/version/control/QuotaTenant.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaTenant.java
@@ -9,11 +9,11 @@
 import org.streamcourse.version.image.TenantId;
 import org.streamcourse.version.image.TenantRule;
 
-/** One tenant of a {@link QuotaWorld} and what was run of it. */
+/** One tenant of a {@link QuotaWorld} and its operations within the window. */
 final class QuotaTenant {
-  private static final double GREEDY = 5;
+  private static final double GREEDY_FACTOR = 5;
   private static final long SETTLED_MILLIS = 5_000;
-  private static final double LIMIT_FOR_DEMAND = 1.6;
+  private static final double LIMIT_PER_DEMAND = 1.6;
 
   private final QuotaWorld world;
   final TenantId id;
@@ -22,24 +22,24 @@
   double burst;
   List<Node> callers;
   long lowLimitFromMillis = Long.MAX_VALUE;
-  private final Deque<Long> ran = new ArrayDeque<>();
+  private final Deque<Long> runTimes = new ArrayDeque<>();
 
   QuotaTenant(QuotaWorld world, int number, double demand) {
     this.world = world;
     this.id = new TenantId("t" + number);
-    this.demand = demand * (number == 0 ? GREEDY * LIMIT_FOR_DEMAND : 1);
-    this.rate = Math.max(1, Math.round(demand * LIMIT_FOR_DEMAND));
+    this.demand = demand * (number == 0 ? GREEDY_FACTOR * LIMIT_PER_DEMAND : 1);
+    this.rate = Math.max(1, Math.round(demand * LIMIT_PER_DEMAND));
     this.burst = rate;
-    this.callers = someNodes();
+    this.callers = randomNodes();
   }
 
-  List<Node> someNodes() {
+  List<Node> randomNodes() {
     int count = 1 + world.random.nextInt(Math.max(1, world.nodes.size() / 2));
-    List<Node> some = new ArrayList<>();
+    List<Node> nodes = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      some.add(world.nodes.get(world.random.nextInt(world.nodes.size())));
+      nodes.add(world.nodes.get(world.random.nextInt(world.nodes.size())));
     }
-    return some;
+    return nodes;
   }
 
   TenantRule rule() {
@@ -50,26 +50,27 @@
     return rate * QuotaWorld.SETTINGS.windowMillis() / 1_000 + burst;
   }
 
-  void next() {
+  void scheduleNext() {
     long pause = Math.max(1, Math.round(-Math.log(1 - world.random.nextDouble()) * 1_000 / demand));
     world.clock.schedule(
         () -> {
           callers.get(world.random.nextInt(callers.size())).offer(this);
-          next();
+          scheduleNext();
         },
         pause,
         TimeUnit.MILLISECONDS);
   }
 
   int inWindow() {
-    while (!ran.isEmpty() && world.now() - ran.peekFirst() >= QuotaWorld.SETTINGS.windowMillis()) {
-      ran.pollFirst();
+    while (!runTimes.isEmpty()
+        && world.now() - runTimes.peekFirst() >= QuotaWorld.SETTINGS.windowMillis()) {
+      runTimes.pollFirst();
     }
-    return ran.size();
+    return runTimes.size();
   }
 
   void run() {
-    ran.addLast(world.now());
+    runTimes.addLast(world.now());
     double bound =
         limit() * (1 + QuotaWorld.SETTINGS.slackShare()) + QuotaWorld.SETTINGS.slackOperations();
     if (this == world.tenants.get(0) && world.now() > SETTLED_MILLIS) {
@@ -77,9 +78,9 @@
       world.figures.greedyUse += QuotaWorld.SETTINGS.windowMillis() / limit() / measured;
     }
     double use = inWindow() / bound;
-    boolean binding =
-        world.now() < lowLimitFromMillis - 1 || world.isInTouchSince(lowLimitFromMillis);
-    if (binding) {
+    boolean mustHold =
+        world.now() < lowLimitFromMillis - 1 || world.isUndisruptedSince(lowLimitFromMillis);
+    if (mustHold) {
       world.figures.highestUse = Math.max(world.figures.highestUse, use);
       world.figures.brokenWindows += use > 1 ? 1 : 0;
     }
--- a/server/src/test/java/org/streamcourse/version/control/QuotaWorld.java
+++ b/server/src/test/java/org/streamcourse/version/control/QuotaWorld.java
@@ -37,9 +37,10 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * Nodes that run operations of tenants with limits, and the leader that shares these out, on a
- * virtual clock. Tenants are of unequal size and call a random part of the nodes; the first one
- * wants five times its limit, the second one moves to other nodes in the middle.
+ * Simulation of nodes that run operations of tenants with limits, and of the leader that divides
+ * the limits, on a virtual clock. Tenants are of unequal size and call a random subset of the
+ * nodes; the first tenant demands five times its limit, and the second one moves to other nodes
+ * halfway.
  */
 final class QuotaWorld {
   static final QuotaSettings SETTINGS = new QuotaSettings(5_000, 0.1, 20);
@@ -47,9 +48,9 @@
 
   private static final double OPERATIONS_A_NODE = 14.7;
   private static final long COMMIT_MILLIS = 45;
-  private static final long MOST_WAY_MILLIS = 25;
-  private static final long TICK_MILLIS = 100;
-  private static final long BINDING_MILLIS = 10_000;
+  private static final long MAX_LATENCY_MILLIS = 25;
+  private static final long CHECK_MILLIS = 100;
+  private static final long LIMIT_EFFECT_MILLIS = 10_000;
   private static final long MEASURED_MILLIS = 1_500;
   private static final long HEARTBEAT_MILLIS = 500;
   private static final long SAME_ZONE_MICROS = 100;
@@ -59,7 +60,7 @@
   private static final int ZONES_OF_A_REGION = 2;
   private static final MessageCodec CODEC = StreamTypes.codec();
 
-  /** One node with its present run. */
+  /** One node with its present incarnation. */
   final class Node {
     final String name;
     private final Placement placement;
@@ -92,27 +93,27 @@
       quotas =
           new TenantQuotas(
               new RunWorker(this, ofRun),
-              way.pacing,
+              scheme.pacing,
               name,
               run,
               () -> now() - lastConfirmed < QuotaPlanner.HOLD_MILLIS,
               report -> toLeader(report));
       limits = quotas;
-      if (way.scope != null) {
+      if (scheme.scope != null) {
         quotaClient =
             new QuotaClient(
                 new RunWorker(this, ofRun),
                 (peer, message) -> toNode(this, peer, message),
                 quotas,
                 name,
-                new QuotaServerOrder(way.scope, placement),
+                new QuotaServerOrder(scheme.scope, placement),
                 () -> image,
                 random.nextLong() >>> 1);
         limits = quotaClient;
       }
       worker(ofRun)
           .repeat(
-              TICK_MILLIS,
+              CHECK_MILLIS,
               () -> {
                 if (quotaClient == null) {
                   quotas.check();
@@ -131,12 +132,12 @@
     private void heartbeat() {
       long sent = now();
       int ofRun = (int) run;
-      if (way != QuotaWay.EQUAL_PARTS) {
-        carry(
+      if (scheme != QuotaScheme.EQUAL_PARTS) {
+        deliver(
             this,
             () -> {
-              planner.heartbeat(name);
-              carry(this, () -> confirmed(sent, ofRun));
+              planner.onHeartbeat(name);
+              deliver(this, () -> confirmed(sent, ofRun));
             });
       }
     }
@@ -151,7 +152,7 @@
 
     private void toLeader(QuotaReport report) {
       count(report);
-      carry(this, () -> planner.heard(name, report));
+      deliver(this, () -> planner.onReport(name, report));
     }
 
     void offer(QuotaTenant tenant) {
@@ -159,7 +160,7 @@
         return;
       }
       figures.offered++;
-      if (way == QuotaWay.EQUAL_PARTS) {
+      if (scheme == QuotaScheme.EQUAL_PARTS) {
         int part = SETTINGS.budget(tenant.rule()) / nodes.size();
         LocalQuota quota =
             parts.computeIfAbsent(
@@ -208,7 +209,7 @@
     }
   }
 
-  /** Runs tasks of one run of a node, late when the node was frozen meanwhile. */
+  /** Runs the tasks of one incarnation of a node; while the node is frozen, tasks are delayed. */
   private final class RunWorker implements Worker {
     private final Node node;
     private final int ofRun;
@@ -248,24 +249,24 @@
   final VirtualTimeScheduler clock = VirtualTimeScheduler.create();
   private final Worker leaderWorker = SchedulerWorker.onSchedulerClock(clock);
   final UniformRandomProvider random;
-  private final QuotaWay way;
+  private final QuotaScheme scheme;
   final List<Node> nodes = new ArrayList<>();
   final List<QuotaTenant> tenants = new ArrayList<>();
   private final QuotaTable table = new QuotaTable();
   private final QuotaPlanner planner;
-  final QuotaFigures figures = new QuotaFigures();
+  final QuotaStatistics figures = new QuotaStatistics();
   private long leadership;
   private boolean leaderless;
   private String cutRegion = "";
   private boolean measuresNextConfirmation;
-  private long troubleUntilMillis;
+  private long disruptedUntilMillis;
   private long measuredFrom = Long.MAX_VALUE;
   private long documentVersion;
   private ClusterImage image = ClusterImage.EMPTY;
 
-  QuotaWorld(long seed, QuotaWay way, int nodeCount, int tenantCount) {
+  QuotaWorld(long seed, QuotaScheme scheme, int nodeCount, int tenantCount) {
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    this.way = way;
+    this.scheme = scheme;
     this.planner = new QuotaPlanner(SETTINGS, table, new LeaderActions());
     for (int i = 0; i < nodeCount; i++) {
       nodes.add(new Node(i));
@@ -305,16 +306,16 @@
     }
 
     @Override
-    public void tell(QuotaHolder holder, List<QuotaShare> shares, boolean confirmed) {
-      QuotaNews news = new QuotaNews(holder.run(), shares);
-      count(news);
+    public void sendShares(QuotaHolder holder, List<QuotaShare> shares, boolean confirmed) {
+      QuotaNews message = new QuotaNews(holder.run(), shares);
+      count(message);
       Node node = nodes.get(Integer.parseInt(holder.node().substring(1)));
       int run = (int) node.run;
-      carry(
+      deliver(
           node,
           () -> {
             if (node.run == run && !node.down) {
-              node.worker(run).execute(() -> node.quotas.receive(news));
+              node.worker(run).execute(() -> node.quotas.receive(message));
             }
           });
     }
@@ -329,20 +330,20 @@
     figures.bytes += CODEC.encode(message).length;
   }
 
-  /** Carries a message between a node and the leader, either way. */
-  private void carry(Node node, Runnable arrive) {
-    long way = 1 + random.nextLong(MOST_WAY_MILLIS);
+  /** Delivers a message between a node and the leader, in either direction, or loses it. */
+  private void deliver(Node node, Runnable arrive) {
+    long latency = 1 + random.nextLong(MAX_LATENCY_MILLIS);
     clock.schedule(
         () -> {
           if (!node.cut && !leaderless && !node.placement.region().equals(cutRegion)) {
             arrive.run();
           }
         },
-        way,
+        latency,
         TimeUnit.MILLISECONDS);
   }
 
-  /** Carries a message between nodes, or loses it. */
+  /** Delivers a message between nodes, or loses it. */
   private void toNode(Node from, String peer, Object message) {
     Node to = nodes.get(Integer.parseInt(peer.substring(1)));
     int size = CODEC.encode(message).length;
@@ -372,7 +373,7 @@
     }
   }
 
-  // ---- what is measured after a loss ----
+  // ---- measurement after a fault ----
 
   private void measureFromNextConfirmation() {
     measuresNextConfirmation = true;
@@ -406,8 +407,8 @@
     clock.schedule(task, millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Runs for a while, with what is planned. */
-  QuotaFigures run(QuotaFaults faults) {
+  /** Runs the simulation with the given faults. */
+  QuotaStatistics run(QuotaFaults faults) {
     nodes.forEach(Node::start);
     leaderWorker.repeat(
         50,
@@ -416,46 +417,49 @@
             planner.check(image);
           }
         });
-    tenants.forEach(QuotaTenant::next);
-    at(LENGTH_MILLIS / 2, () -> tenants.get(1).callers = tenants.get(1).someNodes());
+    tenants.forEach(QuotaTenant::scheduleNext);
+    at(LENGTH_MILLIS / 2, () -> tenants.get(1).callers = tenants.get(1).randomNodes());
     faults.plan(this);
     clock.advanceTimeBy(Duration.ofMillis(LENGTH_MILLIS));
     return figures;
   }
 
-  // ---- what may happen ----
+  // ---- faults ----
 
-  /** Until then some node or the leader is not reached. */
-  void troubleUntil(long millis) {
-    troubleUntilMillis = Math.max(troubleUntilMillis, millis);
+  /** Records that some node or the leader is unreachable until the given time. */
+  void disruptedUntil(long millis) {
+    disruptedUntilMillis = Math.max(disruptedUntilMillis, millis);
   }
 
-  /** A lower limit counts a window after it has been brought to each node. */
-  boolean isInTouchSince(long millis) {
-    return now() > Math.max(millis, troubleUntilMillis) + BINDING_MILLIS;
+  /**
+   * Returns whether all nodes have been reachable for long enough since a time that a limit lowered
+   * then must hold.
+   */
+  boolean isUndisruptedSince(long millis) {
+    return now() > Math.max(millis, disruptedUntilMillis) + LIMIT_EFFECT_MILLIS;
   }
 
   void freeze(Node node, long millis) {
     node.frozenUntil = now() + millis;
-    troubleUntil(node.frozenUntil);
+    disruptedUntil(node.frozenUntil);
   }
 
   void cut(Node node, long millis) {
     node.cut = true;
-    troubleUntil(now() + millis);
+    disruptedUntil(now() + millis);
     at(millis, () -> node.cut = false);
   }
 
-  /** A region is cut off from the others and from the leader. */
+  /** Cuts a region off from the other regions and from the leader. */
   void cutRegion(String region, long millis) {
     cutRegion = region;
-    troubleUntil(now() + millis);
+    disruptedUntil(now() + millis);
     at(millis, () -> cutRegion = "");
   }
 
   void restart(Node node, long millis) {
     node.down = true;
-    troubleUntil(now() + millis);
+    disruptedUntil(now() + millis);
     at(
         millis,
         () -> {
@@ -465,7 +469,7 @@
         });
   }
 
-  /** The leader is lost; what follows first is measured. */
+  /** Leaves the nodes without a leader for the given time; measurement starts at once. */
   void changeLeader(long millis) {
     measuredFrom = now();
     stopLeading(millis);
@@ -474,7 +478,7 @@
   private void stopLeading(long millis) {
     leaderless = true;
     leadership++;
-    troubleUntil(now() + millis);
+    disruptedUntil(now() + millis);
     at(
         millis,
         () -> {
@@ -483,7 +487,7 @@
         });
   }
 
-  /** All machines lose power; the controllers need longer to start than the nodes. */
+  /** Cuts the power of all machines; the controllers need longer to start than the nodes. */
   void losePower(long millis, long leaderMillis) {
     measuredFrom = Long.MAX_VALUE;
     nodes.forEach(node -> restart(node, millis + random.nextLong(200)));
--- a/server/src/test/java/org/streamcourse/version/control/ServiceSupervisorTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/ServiceSupervisorTest.java
@@ -30,7 +30,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Calls are answered once agreed, members come and go for good, orders have rising fences. */
+/**
+ * Calls are answered once their effect is agreed, departed members stay removed, fences of orders
+ * increase, and a former primary with dropped records is not promoted.
+ */
 public class ServiceSupervisorTest {
   private static final String SERVICE = "s";
 
@@ -56,7 +59,7 @@
 
         @Override
         public void sendOrder(String gateway, MemberOrder order) {
-          throw new AssertionError("no gateway is ordered");
+          throw new AssertionError("no order goes to a gateway");
         }
 
         @Override
@@ -67,7 +70,7 @@
         @Override
         public void decided(
             Decision.Kind kind, String subject, String cause, String inputs, String outcome) {
-          // Not looked at.
+          // Not checked.
         }
       };
 
@@ -93,7 +96,7 @@
     supervisor.restart();
   }
 
-  /** Agrees on all that was proposed. */
+  /** Applies all proposed changes. */
   private void agree() {
     List<ClusterChange> changes = List.copyOf(proposed);
     proposed.clear();
@@ -141,20 +144,21 @@
 
   private void report(String node, MemberReport report, boolean all) {
     NodeImage self = new NodeImage(node, 1, "h", 1, new Placement("r", "z"), false);
-    registry.heard(new NodeHeartbeat(self, 1, 1, 1, false, 0, all, List.of(report)), now, true);
+    registry.onHeartbeat(
+        new NodeHeartbeat(self, 1, 1, 1, false, 0, all, List.of(report)), now, true);
   }
 
-  /** One node tells of one member after the other. */
-  private void reportPlace(String id, boolean reachable, long term, long position) {
-    TermPosition place = new TermPosition(term, position);
-    MemberStatus status = new MemberStatus(term, MemberRole.REPLICA, "", place, place, place);
+  /** Reports the log position of one member; the reports of other members stay. */
+  private void reportPosition(String id, boolean reachable, long term, long position) {
+    TermPosition end = new TermPosition(term, position);
+    MemberStatus status = new MemberStatus(term, MemberRole.REPLICA, "", end, end, end);
     report("p1", new MemberReport(SERVICE, id, reachable, status), false);
   }
 
-  /** The first member was primary up to 1:98; the second one has followed it with 88 records. */
+  /** Member i-1 was primary and wrote up to 1:98; member i-2 has become primary after it. */
   private void changePrimary() {
     startService();
-    reportPlace("i-1", true, 1, 98);
+    reportPosition("i-1", true, 1, 98);
     heartbeat(member("i-2", 2, false), true, 2);
     agree();
     assertEquals(service().primary(), new MemberId("i-2"));
@@ -203,7 +207,7 @@
   }
 
   @Test
-  public void aMemberThatLeavesIsAcknowledgedOnceThatIsAgreed() {
+  public void drainingIsAcknowledgedOnceItIsAgreed() {
     startService();
     List<Result> results = heartbeat(member("i-2", 2, true), false, 2);
     assertEquals(results, List.of());
@@ -213,18 +217,21 @@
   }
 
   @Test
-  public void aLateHeartbeatBringsNobodyBack() {
+  public void aLateHeartbeatDoesNotRestoreAMember() {
     startService();
     heartbeat(member("i-2", 2, true), false, 5);
     agree();
     heartbeat(member("i-2", 2, false), false, 4);
     agree();
-    assertTrue(service().members().get(new MemberId("i-2")).draining(), "an older word is late");
+    assertTrue(
+        service().members().get(new MemberId("i-2")).draining(),
+        "a heartbeat with a lower sequence number is ignored");
     supervisor.restart();
     heartbeat(member("i-2", 2, false), false, 4);
     agree();
     assertTrue(
-        service().members().get(new MemberId("i-2")).draining(), "also under a leader that is new");
+        service().members().get(new MemberId("i-2")).draining(),
+        "a new leader keeps the member draining");
     supervisor.memberLeaves(image, new MemberLeaves(new MemberId("i-2")), any -> {});
     agree();
     heartbeat(member("i-2", 2, false), false, 9);
@@ -233,7 +240,7 @@
   }
 
   @Test
-  public void anAddressBelongsToWhoRegisteredThereLast() {
+  public void anAddressBelongsToTheMemberThatRegisteredThereLast() {
     startService();
     heartbeat(member("i-9", 2, false), false, 1);
     agree();
@@ -260,7 +267,7 @@
   }
 
   @Test
-  public void aPrimaryThatOneNodeReachesStays() {
+  public void aPrimaryThatOneNodeReachesIsNotReplaced() {
     startService();
     report("p1", "i-1", false);
     report("p2", "i-1", true);
@@ -269,7 +276,7 @@
   }
 
   @Test
-  public void anUnansweredOrderIsGivenAgainWithAHigherFence() {
+  public void anUnansweredOrderIsSentAgainWithAHigherFence() {
     startService();
     report("p1", "i-1", false);
     supervisor.check(image);
@@ -282,7 +289,7 @@
   }
 
   @Test
-  public void aSuccessorIsBelievedThoughTheFormerPrimaryIsOnlySilent() {
+  public void aMemberThatBecomesPrimaryReplacesAPrimaryWithoutHeartbeats() {
     startService();
     heartbeat(member("i-2", 2, false), true, 2);
     agree();
@@ -290,7 +297,7 @@
   }
 
   @Test
-  public void aLateClaimUnderANewLeaderDoesNotHideThePrimary() {
+  public void aLateClaimUnderANewLeaderDoesNotReplaceThePrimary() {
     startService();
     supervisor.restart();
     heartbeat(member("i-1", 1, false), true, 7);
@@ -300,7 +307,7 @@
   }
 
   @Test
-  public void aPrimaryThatLeavesIsReplaced() {
+  public void aDrainingPrimaryIsReplaced() {
     startService();
     heartbeat(member("i-1", 1, true), true, 2);
     agree();
@@ -311,53 +318,53 @@
   }
 
   @Test
-  public void aFormerPrimaryWithDroppedRecordsIsNotOrderedToLeadAgain() {
+  public void aFormerPrimaryWithDroppedRecordsIsNotPromoted() {
     changePrimary();
-    reportPlace("i-2", false, 2, 89);
-    reportPlace("i-3", true, 1, 69);
+    reportPosition("i-2", false, 2, 89);
+    reportPosition("i-3", true, 1, 69);
     assertEquals(ordered(), List.of(new MemberId("i-3")));
   }
 
   @Test
-  public void noRecordOfTheNewTermIsNeededToTellDroppedOnes() {
+  public void droppedRecordsAreDetectedWithoutARecordOfTheNewTerm() {
     changePrimary();
-    reportPlace("i-2", false, 1, 88);
-    reportPlace("i-3", true, 1, 69);
+    reportPosition("i-2", false, 1, 88);
+    reportPosition("i-3", true, 1, 69);
     assertEquals(ordered(), List.of(new MemberId("i-3")));
   }
 
   @Test
-  public void aFormerPrimaryThatFollowsIsOrderedAgain() {
+  public void aFormerPrimaryThatFollowsThePresentOneIsPromoted() {
     changePrimary();
-    reportPlace("i-2", false, 2, 89);
-    reportPlace("i-1", true, 2, 90);
-    reportPlace("i-3", true, 1, 69);
+    reportPosition("i-2", false, 2, 89);
+    reportPosition("i-1", true, 2, 90);
+    reportPosition("i-3", true, 1, 69);
     assertEquals(ordered(), List.of(new MemberId("i-1")));
   }
 
   @Test
-  public void aFormerPrimaryWhosePlaceIsUnknownIsNotOrdered() {
+  public void aFormerPrimaryWithAnUnknownPositionIsNotPromoted() {
     startService();
     heartbeat(member("i-2", 2, false), true, 2);
     agree();
-    reportPlace("i-2", false, 2, 89);
+    reportPosition("i-2", false, 2, 89);
     assertEquals(ordered(), List.of(new MemberId("i-3")));
   }
 
   @Test
-  public void aFormerPrimaryLeadsAgainOnlyOnceThePrimaryIsLostForGood() {
+  public void aFormerPrimaryWithDroppedRecordsIsPromotedOnceThePrimaryIsLost() {
     changePrimary();
     supervisor.memberLeaves(image, new MemberLeaves(new MemberId("i-3")), any -> {});
     agree();
-    reportPlace("i-2", false, 2, 89);
+    reportPosition("i-2", false, 2, 89);
     assertEquals(ordered(), List.of());
     now += 16_000;
     heartbeat(member("i-1", 1, false), false, 3);
-    reportPlace("i-1", true, 1, 98);
-    reportPlace("i-2", false, 2, 89);
+    reportPosition("i-1", true, 1, 98);
+    reportPosition("i-2", false, 2, 89);
     now += 1_000;
-    reportPlace("i-1", true, 1, 98);
-    reportPlace("i-2", false, 2, 89);
+    reportPosition("i-1", true, 1, 98);
+    reportPosition("i-2", false, 2, 89);
     assertEquals(ordered(), List.of(new MemberId("i-1")));
   }
 }
--- a/server/src/test/java/org/streamcourse/version/control/SynchronousReplicasTest.java
+++ b/server/src/test/java/org/streamcourse/version/control/SynchronousReplicasTest.java
@@ -33,7 +33,7 @@
 public class SynchronousReplicasTest {
   private static final String SERVICE = "s";
 
-  /** Time after which a leader has heard of every member that runs. */
+  /** Time after which a leader has received a heartbeat of every running member. */
   private static final long SETTLED_MILLIS = 2_000;
 
   private final List<ClusterChange> proposed = new ArrayList<>();
@@ -60,7 +60,7 @@
 
         @Override
         public void sendOrder(String gateway, MemberOrder order) {
-          throw new AssertionError("no gateway is ordered");
+          throw new AssertionError("no order goes to a gateway");
         }
 
         @Override
@@ -71,7 +71,7 @@
         @Override
         public void decided(
             Decision.Kind kind, String subject, String cause, String inputs, String outcome) {
-          // Not looked at.
+          // Not checked.
         }
       };
 
@@ -157,16 +157,16 @@
         image, new MemberHeartbeat(SERVICE, member, primary, sequence), any -> {});
   }
 
-  private void unreachable(String... ids) {
+  private void reportUnreachable(String... ids) {
     NodeImage self = new NodeImage("p1", 1, "h", 1, new Placement("r", "z"), false);
     List<MemberReport> reports = new ArrayList<>();
     for (String id : ids) {
       reports.add(new MemberReport(SERVICE, new MemberId(id).value(), false, MemberStatus.UNKNOWN));
     }
-    registry.heard(new NodeHeartbeat(self, 1, 1, 1, false, 0, true, reports), now, true);
+    registry.onHeartbeat(new NodeHeartbeat(self, 1, 1, 1, false, 0, true, reports), now, true);
   }
 
-  private void logEnds(String id, long position) {
+  private void setLogEnd(String id, long position) {
     ends.put(new MemberId(id), new TermPosition(1, position));
   }
 
@@ -177,72 +177,72 @@
   }
 
   @Test
-  public void theLongestLogIsPromoted() {
-    logEnds("i-2", 10);
-    logEnds("i-3", 12);
-    unreachable("i-1");
+  public void theReplicaWithTheLatestLogIsPromoted() {
+    setLogEnd("i-2", 10);
+    setLogEnd("i-3", 12);
+    reportUnreachable("i-1");
     assertEquals(ordered(), List.of("i-3"));
   }
 
   @Test
-  public void anOrderWhoseTargetIsOutOfReachIsNotGivenAgainBeforeItsTime() {
-    logEnds("i-2", 10);
-    logEnds("i-3", 12);
-    unreachable("i-1", "i-3");
+  public void anOrderWithAnUnreachableTargetIsNotSentAgainBeforeItsTimeout() {
+    setLogEnd("i-2", 10);
+    setLogEnd("i-3", 12);
+    reportUnreachable("i-1", "i-3");
     assertEquals(ordered(), List.of("i-3"));
     now += 50;
-    unreachable("i-1", "i-3");
+    reportUnreachable("i-1", "i-3");
     assertEquals(ordered(), List.of("i-3"));
     now += 1_100;
-    unreachable("i-1", "i-3");
+    reportUnreachable("i-1", "i-3");
     assertEquals(ordered(), List.of("i-3", "i-3"));
   }
 
   @Test
-  public void aNewLeaderChoosesOnlyOnceEveryMemberHasTold() {
+  public void aNewLeaderChoosesOnlyOnceEveryMemberHasSentAHeartbeat() {
     supervisor.restart();
     heartbeat("i-2", false, false, 2);
     heartbeat("i-3", false, false, 2);
-    logEnds("i-2", 10);
-    logEnds("i-3", 12);
-    unreachable("i-1");
+    setLogEnd("i-2", 10);
+    setLogEnd("i-3", 12);
+    reportUnreachable("i-1");
     assertEquals(ordered(), List.of());
     now += 1_200;
     heartbeat("i-4", false, false, 1);
     agree();
-    logEnds("i-4", 15);
-    unreachable("i-1");
+    setLogEnd("i-4", 15);
+    reportUnreachable("i-1");
     assertEquals(ordered(), List.of());
     now += 400;
-    unreachable("i-1");
+    reportUnreachable("i-1");
     assertEquals(ordered(), List.of("i-4"));
   }
 
   @Test
-  public void theLogOfAMemberThatIsGoneIsNotWaitedFor() {
-    logEnds("i-3", 12);
-    unreachable("i-1");
+  public void aDeregisteredMemberIsNotWaitedFor() {
+    setLogEnd("i-3", 12);
+    reportUnreachable("i-1");
     assertEquals(ordered(), List.of());
     supervisor.memberLeaves(image, new MemberLeaves(new MemberId("i-3")), any -> {});
     agree();
-    logEnds("i-2", 10);
+    setLogEnd("i-2", 10);
     now += 400;
-    unreachable("i-1");
+    reportUnreachable("i-1");
     assertEquals(ordered(), List.of("i-2"));
   }
 
   @Test
-  public void aMemberThatLeavesIsNotPromotedWhileOthersCanCatchUp() {
+  public void aDrainingMemberIsNotPromotedWhileOthersCanCatchUp() {
     heartbeat("i-1", true, true, 2);
     heartbeat("i-3", true, false, 2);
     agree();
-    logEnds("i-2", 10);
-    logEnds("i-3", 12);
+    setLogEnd("i-2", 10);
+    setLogEnd("i-3", 12);
     assertEquals(ordered(), List.of());
     supervisor.check(image);
     assertEquals(steppedDown, List.of());
     assertEquals(resumed, List.of(new MemberId("i-2"), new MemberId("i-3")));
-    logEnds("i-2", 12);
+    setLogEnd("i-2", 12);
     now += 600;
     supervisor.check(image);
     supervisor.check(image);
@@ -252,7 +252,7 @@
   }
 
   @Test
-  public void replicasThatAFormerLeaderPausedAreResumedOnce() {
+  public void replicasPausedByAPreviousLeaderAreResumedOnce() {
     supervisor.restart();
     supervisor.check(image);
     supervisor.check(image);
