--- a/server/src/main/java/org/streamcourse/version/control/BufferedHeartbeats.java
+++ b/server/src/main/java/org/streamcourse/version/control/BufferedHeartbeats.java
@@ -57,7 +57,7 @@
     placement = value;
   }
 
-  /** Notes the time at which the controller starts. */
+  /** Records the time at which the controller starts. */
   void onStart() {
     startedMillis = worker.now();
   }
--- a/server/src/main/java/org/streamcourse/version/control/Controller.java
+++ b/server/src/main/java/org/streamcourse/version/control/Controller.java
@@ -175,7 +175,7 @@
    * Counts the nodes that have a version in force.
    *
    * @param version the version
-   * @return number of nodes whose heartbeats this leader has received
+   * @return number of such nodes among those that have sent this leader a heartbeat
    */
   public long nodesWithVersion(long version) {
     return registry.countWithVersion(version);
--- a/server/src/main/java/org/streamcourse/version/control/ReplicaFence.java
+++ b/server/src/main/java/org/streamcourse/version/control/ReplicaFence.java
@@ -123,7 +123,7 @@
         .map(RegisteredMember::id);
   }
 
-  /** Abandons the change: resumes the paused replicas. */
+  /** Abandons the change: resumes the replicas that are paused or being paused. */
   void release(ServiceImage service) {
     service.all().stream()
         .filter(member -> ends.containsKey(member.id()) || pausing.contains(member.id()))
--- a/server/src/main/java/org/streamcourse/version/control/ServiceSupervisor.java
+++ b/server/src/main/java/org/streamcourse/version/control/ServiceSupervisor.java
@@ -266,7 +266,7 @@
       }
     } else if (change instanceof PrimaryObserved observed) {
       orders.remove(observed.service());
-      // Replicas stay paused when a member became primary without an order.
+      // A member that became primary without an order has not resumed the paused replicas.
       releaseFence(image.service(observed.service()));
     }
   }
