--- a/server/src/main/java/org/streamcourse/connection/relay/HolderOrder.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/HolderOrder.java
@@ -8,9 +8,9 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * Which holder of a member's connections is asked first. All nodes ask the same one for a tenant,
- * by rendezvous hashing: connections belong to tenants, so a tenant whose statements come to all
- * four holders needs a connection at each of them.
+ * Order of preference among the holders of a member's connections. All nodes prefer the same holder
+ * for a tenant, by rendezvous hashing: each connection serves one tenant, so a tenant whose
+ * statements went to all four holders would need a connection at each of them.
  */
 public final class HolderOrder {
   private static final LongHashFunction HASH = LongHashFunction.xx();
@@ -18,12 +18,12 @@
   private HolderOrder() {}
 
   /**
-   * Sorts holders.
+   * Sorts holders by preference.
    *
-   * @param holders names of the nodes, in this node's own order
+   * @param holders names of the holders, in this node's own order
    * @param member the member
-   * @param tenant whose statement is brought there; without one the own order stays
-   * @return the same names, the one to ask first in front
+   * @param tenant tenant of the statement; without a tenant the given order is kept
+   * @return the same names in order of preference
    */
   public static List<String> of(List<String> holders, MemberId member, TenantId tenant) {
     if (!tenant.isPresent()) {
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayChannel.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayChannel.java
@@ -15,21 +15,21 @@
 import org.streamcourse.request.statement.SessionState;
 
 /**
- * One unit of work on its way to a member through a holder. Session values and prepared names are
- * kept here and go along with the steps that need them.
+ * Channel for one unit of work that is relayed to a member through a holder. Session values and
+ * prepared statements are kept here and sent along with the steps that need them.
  *
- * <p>Invariant: it is brought to another holder only when the one before said that the member was
- * asked nothing, or was certainly not reached.
+ * <p>Invariant: the work goes to another holder only after the previous one has reported that the
+ * member has run nothing, or was certainly not reached.
  */
 final class RelayChannel implements MemberChannel {
-  /** Time until it is asked again for a member that no holder reached. */
-  private static final long UNREACHED_REST_MILLIS = 300;
+  /** Time for which no work is relayed to a member after no holder could reach it. */
+  private static final long UNREACHABLE_BACKOFF_MILLIS = 300;
 
   /**
-   * Time until holders are asked again that do not know that they are; their images are those of a
-   * moment ago, or they have just started.
+   * Time for which no work is relayed to a member after its holders answered that they hold no
+   * connections: their images are slightly outdated, or they have just started.
    */
-  private static final long NOT_HELD_REST_MILLIS = 50;
+  private static final long NOT_HELD_BACKOFF_MILLIS = 50;
 
   private final RelayClient client;
   private final MemberRelay.Target target;
@@ -37,7 +37,7 @@
   private final LinkRequest request;
   private final Listener listener;
   private final LongConsumer backOff;
-  private final boolean standIn;
+  private final boolean fallback;
   private final Map<String, String> values = new TreeMap<>();
   private final Map<String, PreparedShape> prepared = new HashMap<>();
   private final List<RelayMessage.Step> unsent = new ArrayList<>();
@@ -61,30 +61,30 @@
       LinkRequest request,
       Listener listener,
       LongConsumer backOff,
-      boolean standIn) {
+      boolean fallback) {
     this.client = client;
     this.target = target;
     this.holders = holders;
     this.request = request;
     this.listener = listener;
     this.backOff = backOff;
-    this.standIn = standIn;
+    this.fallback = fallback;
   }
 
-  // ---- what is sent ----
+  // ---- outgoing ----
 
   @Override
   public void send(MemberCommand command) {
     if (command instanceof MemberCommand.SetSessionValue set) {
       values.put(set.name(), set.value());
-      answerHere();
+      answerLocally();
     } else if (command instanceof MemberCommand.ResetSession) {
       values.clear();
       prepared.clear();
-      answerHere();
+      answerLocally();
     } else if (command instanceof MemberCommand.PrepareStatement prepare) {
       prepared.put(prepare.name(), prepare.shape());
-      answerHere();
+      answerLocally();
     } else if (command instanceof MemberCommand.RunPrepared run) {
       unsent.add(
           new RelayMessage.ExecuteShape(
@@ -97,8 +97,8 @@
     }
   }
 
-  /** Nothing of the session stands at the holder, so nothing there has to be changed. */
-  private void answerHere() {
+  /** Answers a command here: the holder keeps no session, so nothing has to be changed there. */
+  private void answerLocally() {
     valuesChanged = true;
     listener.answered(Answer.local(state));
   }
@@ -126,7 +126,7 @@
               request.maxWaitMillis(),
               new TreeMap<>(values),
               steps,
-              standIn,
+              fallback,
               null);
       sendOpen();
     } else {
@@ -140,17 +140,17 @@
     return holders.get(holderIndex);
   }
 
-  /** Brings the work to the holder, at once if the holder has spoken before. */
+  /** Sends the work to the holder, at once if the holder has responded on its present peer link. */
   private void sendOpen() {
     sent = false;
-    stream = client.begin(holder(), this);
+    stream = client.register(holder(), this);
     if (client.isEstablished(holder())) {
-      holderSpoke();
+      holderResponded();
     }
   }
 
-  /** The holder is there. */
-  void holderSpoke() {
+  /** Sends the work, if it wasn't sent yet, once the holder has responded. */
+  void holderResponded() {
     if (sent || ended) {
       return;
     }
@@ -177,7 +177,7 @@
     return sent;
   }
 
-  /** All holders that are asked one after the other share the longest wait. */
+  /** Returns the rest of the longest wait, which is shared by all holders tried in turn. */
   private long remainingWaitMillis() {
     return open.maxWaitMillis() - (client.now() - openedMillis);
   }
@@ -189,7 +189,7 @@
     }
     ended = true;
     if (open != null) {
-      client.forget(holder(), stream);
+      client.removeStream(holder(), stream);
     }
     if (sent) {
       client.send(holder(), new RelayMessage.Close(stream));
@@ -203,12 +203,12 @@
     }
   }
 
-  /** Time at which the oldest step without an answer was sent, or {@link Long#MAX_VALUE}. */
+  /** Returns when the oldest unanswered step was sent, or {@link Long#MAX_VALUE}. */
   long unansweredSinceMillis() {
     return unanswered > 0 ? sentMillis : Long.MAX_VALUE;
   }
 
-  // ---- what comes back ----
+  // ---- incoming ----
 
   void answered(RelayMessage.Answered message) {
     answeredOnce = true;
@@ -220,18 +220,18 @@
       listener.answered(answer);
     }
     if (finishing && unanswered == 0) {
-      // The rollback is not answered, but nothing of the unit of work is left.
+      // The holder doesn't answer the rollback, but the unit of work is complete.
       listener.answered(Answer.local(SessionState.IDLE));
     }
   }
 
-  /** After a failure the steps behind it are not run, so the stream is over as well. */
+  /** Ends the stream after its last answer, or after a failure: later steps aren't run then. */
   private void endIfOver(Answer answer) {
     boolean idle = state == SessionState.IDLE && (unanswered == 0 || !answer.isComplete());
     boolean finished = finishing && (unanswered == 0 || !answer.isComplete());
     if (idle || finished) {
       ended = true;
-      client.forget(holder(), stream);
+      client.removeStream(holder(), stream);
     }
   }
 
@@ -239,35 +239,35 @@
     if (refused.observation() != null) {
       request.onObservation(refused.observation());
     }
-    // The owner of a member's slots has refused for all holders.
+    // The owner assigns all slots of the member, so the other holders have no capacity either.
     boolean isFinal = target.owned() && refused.refusal() == RelayMessage.Refusal.BUSY;
     if (refused.refusal() == RelayMessage.Refusal.BEHIND) {
-      // The other holders' member is the same.
+      // The member is behind for all holders.
       ended = true;
       request.behind(refused.cause(), refused.retryAfterMillis());
-    } else if (isFinal || !asksNext(refused.cause())) {
-      notRun(restMillis(refused.refusal()), refused.cause(), refused.retryAfterMillis());
+    } else if (isFinal || !tryNextHolder(refused.cause())) {
+      notRun(backOffMillis(refused.refusal()), refused.cause(), refused.retryAfterMillis());
     }
   }
 
-  private static long restMillis(RelayMessage.Refusal refusal) {
+  private static long backOffMillis(RelayMessage.Refusal refusal) {
     return switch (refusal) {
       case BUSY, BEHIND -> 0;
-      case MEMBER_UNUSABLE -> UNREACHED_REST_MILLIS;
-      case NOT_HELD -> NOT_HELD_REST_MILLIS;
+      case MEMBER_UNUSABLE -> UNREACHABLE_BACKOFF_MILLIS;
+      case NOT_HELD -> NOT_HELD_BACKOFF_MILLIS;
     };
   }
 
-  /** The holder was not reached. */
+  /** Handles that the holder was not reached: tries the next one, or refuses the request. */
   void notDelivered(String cause) {
     if (answeredOnce) {
       lost(cause);
-    } else if (!asksNext(cause)) {
-      notRun(UNREACHED_REST_MILLIS, cause, 0);
+    } else if (!tryNextHolder(cause)) {
+      notRun(UNREACHABLE_BACKOFF_MILLIS, cause, 0);
     }
   }
 
-  private boolean asksNext(String cause) {
+  private boolean tryNextHolder(String cause) {
     boolean another =
         !answeredOnce && holderIndex + 1 < holders.size() && remainingWaitMillis() > 0;
     request.holderListener().notRun(holder(), stream, sent, cause, another);
@@ -280,10 +280,10 @@
     return true;
   }
 
-  private void notRun(long restMillis, String cause, long retryAfterMillis) {
+  private void notRun(long backOffMillis, String cause, long retryAfterMillis) {
     ended = true;
-    if (restMillis > 0) {
-      backOff.accept(restMillis);
+    if (backOffMillis > 0) {
+      backOff.accept(backOffMillis);
     }
     request.refused(cause, retryAfterMillis);
   }
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayClient.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayClient.java
@@ -16,13 +16,13 @@
 import org.streamcourse.process.Worker;
 
 /**
- * The side of a relay that has the callers' statements: asks holders of connections, and judges by
- * their answers which of them can be asked.
+ * Client side of a relay, at the node that has the callers' statements: sends work to holders, and
+ * tracks by their responses which holders are available.
  *
- * <p>Nothing is brought to a holder before it has spoken: what waits for that has certainly not
- * run. A holder that owes an answer and is silent gets a {@link RelayMessage.Ping}; one that does
- * not answer that either is suspected: what it was asked is lost, and others are asked instead
- * until it speaks again.
+ * <p>No work is sent to a holder before the holder has responded on its present peer link, so work
+ * that is still waiting has certainly not run. A holder with an unanswered request and no recent
+ * message gets a {@link RelayMessage.Ping}; if it doesn't answer that either, it is suspected: its
+ * outstanding work is in doubt, and other holders are used until it responds again.
  *
  * <p>All methods run on the proxy's worker.
  */
@@ -30,29 +30,29 @@
   private static final Logger LOG = LoggerFactory.getLogger(RelayClient.class);
 
   /**
-   * Silence of a holder that owes an answer, after which it is asked for a sign of life; most
-   * statements are answered sooner, so few questions are needed.
+   * Time without a message from a holder with an unanswered request after which it gets a ping;
+   * most statements are answered sooner, so few pings are needed.
    */
-  private static final long SILENCE_MILLIS = 200;
+  private static final long PING_AFTER_MILLIS = 200;
 
-  /** Time in which a sign of life comes: ways between regions, and a holder that is busy. */
-  private static final long PONG_MILLIS = 250;
+  /** Timeout for the answer to a ping; covers latency between regions and a busy holder. */
+  private static final long PONG_TIMEOUT_MILLIS = 250;
 
-  /** Time between questions to a holder that is suspected. */
-  private static final long SUSPECT_PING_MILLIS = 300;
+  /** Time between pings to a suspected holder. */
+  private static final long SUSPECT_PING_INTERVAL_MILLIS = 300;
 
-  /** Holders that one unit of work is brought to, each only if the one before did not run it. */
-  private static final int MOST_HOLDERS = 3;
+  /** Maximum number of holders tried for one unit of work. */
+  private static final int MAX_HOLDERS = 3;
 
-  /** Least time between questions to all other nodes that were asked before. */
-  private static final long ASK_OTHERS_MILLIS = 500;
+  /** Minimum time between pings to all known holders. */
+  private static final long PING_OTHERS_INTERVAL_MILLIS = 500;
 
   private static final long NOT_PINGED = -1;
 
-  /** What this node knows of one holder. */
+  /** State of one holder as observed by this node. */
   private static final class Holder {
     private final Map<Long, RelayChannel> streams = new HashMap<>();
-    private long heardMillis;
+    private long lastMessageMillis;
     private long pingedMillis = NOT_PINGED;
     private boolean established;
     private boolean suspected;
@@ -61,38 +61,38 @@
   private final Worker worker;
   private final PeerNetwork network;
   private final Map<String, Holder> holders = new TreeMap<>();
-  private long numbers;
-  private long askedOthersMillis = -ASK_OTHERS_MILLIS;
+  private long lastStream;
+  private long othersPingedMillis = -PING_OTHERS_INTERVAL_MILLIS;
   private ObservationListener observationListener = (service, member, observation) -> {};
 
   /**
-   * Creates a client that asks nobody yet.
+   * Creates a client without streams.
    *
    * @param worker the proxy's worker
-   * @param network way to the holders
-   * @param lastStream number below those of this run's streams; far from those of other runs of
-   *     this node, whose late answers must not be taken for answers to this run
+   * @param network sends messages to holders
+   * @param lastStream number below those of this incarnation's streams; far from those of other
+   *     incarnations of this node, so that late answers to these are not matched
    */
   public RelayClient(Worker worker, PeerNetwork network, long lastStream) {
     this.worker = worker;
     this.network = network;
-    this.numbers = lastStream;
+    this.lastStream = lastStream;
   }
 
   @Override
   public MemberChannel open(
       Target target, LinkRequest request, MemberChannel.Listener listener, LongConsumer backOff) {
-    List<String> asked = usable(inOrder(target, request));
-    boolean standIn = asked.isEmpty();
-    if (standIn) {
-      asked = usableStandIns(target.fallbackHolders());
+    List<String> candidates = usable(inOrder(target, request));
+    boolean fallback = candidates.isEmpty();
+    if (fallback) {
+      candidates = usableFallbackHolders(target.fallbackHolders());
     }
-    return asked.isEmpty()
+    return candidates.isEmpty()
         ? null
-        : new RelayChannel(this, target, asked, request, listener, backOff, standIn);
+        : new RelayChannel(this, target, candidates, request, listener, backOff, fallback);
   }
 
-  /** An owner is asked first whoever the tenant is; equal holders by tenant. */
+  /** Returns the holders in order of preference: the owner first, equal holders by tenant. */
   private static List<String> inOrder(Target target, LinkRequest request) {
     return target.owned()
         ? target.holders()
@@ -105,9 +105,9 @@
   }
 
   private List<String> usable(List<String> names) {
-    List<String> usable = new ArrayList<>(MOST_HOLDERS);
+    List<String> usable = new ArrayList<>(MAX_HOLDERS);
     for (String name : names) {
-      if (usable.size() < MOST_HOLDERS && !holder(name).suspected) {
+      if (usable.size() < MAX_HOLDERS && !holder(name).suspected) {
         usable.add(name);
       }
     }
@@ -115,12 +115,12 @@
   }
 
   /**
-   * Those that have spoken come first; all are asked for a sign of life, since most may be dark.
+   * Returns fallback holders, those that have responded first; pings all, since most may be down.
    */
-  private List<String> usableStandIns(List<String> names) {
+  private List<String> usableFallbackHolders(List<String> names) {
     names.forEach(this::sendPing);
-    List<String> spoken = names.stream().filter(name -> holder(name).established).toList();
-    List<String> usable = usable(spoken);
+    List<String> responsive = names.stream().filter(name -> holder(name).established).toList();
+    List<String> usable = usable(responsive);
     return usable.isEmpty() ? usable(names) : usable;
   }
 
@@ -130,22 +130,22 @@
 
   // ---- for channels ----
 
-  /** Gives a channel a number at a holder. */
-  long begin(String name, RelayChannel channel) {
-    numbers++;
+  /** Registers a channel at a holder; returns its stream number. */
+  long register(String name, RelayChannel channel) {
+    lastStream++;
     Holder holder = holder(name);
     if (holder.streams.isEmpty()) {
-      holder.heardMillis = worker.now();
+      holder.lastMessageMillis = worker.now();
     }
-    holder.streams.put(numbers, channel);
-    return numbers;
+    holder.streams.put(lastStream, channel);
+    return lastStream;
   }
 
   void send(String name, RelayMessage message) {
     network.send(name, message);
   }
 
-  /** Whether a holder has spoken on its present link; asks it for a sign of life if it has not. */
+  /** Returns whether a holder has responded on its present peer link; pings it if it has not. */
   boolean isEstablished(String name) {
     Holder holder = holder(name);
     if (!holder.established && holder.pingedMillis == NOT_PINGED) {
@@ -155,7 +155,7 @@
   }
 
   /**
-   * Asks a node for a sign of life, unless an answer is awaited already.
+   * Sends a ping to a node, unless one is outstanding.
    *
    * @param name name of the node
    */
@@ -166,7 +166,7 @@
     }
   }
 
-  void forget(String name, long stream) {
+  void removeStream(String name, long stream) {
     holder(name).streams.remove(stream);
   }
 
@@ -184,15 +184,15 @@
    */
   public void receive(String name, RelayMessage message) {
     Holder holder = holder(name);
-    holder.heardMillis = worker.now();
+    holder.lastMessageMillis = worker.now();
     holder.pingedMillis = NOT_PINGED;
     if (holder.suspected) {
       holder.suspected = false;
-      LOG.info("relay through {} works again", name);
+      LOG.info("relay through {} is available again", name);
     }
     if (!holder.established) {
       holder.established = true;
-      List.copyOf(holder.streams.values()).forEach(RelayChannel::holderSpoke);
+      List.copyOf(holder.streams.values()).forEach(RelayChannel::holderResponded);
     }
     if (message instanceof RelayMessage.Answered answered) {
       RelayChannel channel = holder.streams.get(answered.stream());
@@ -209,50 +209,51 @@
       if (channel != null) {
         channel.lost(ended.cause());
       }
-    } else if (message instanceof RelayMessage.News told) {
-      observationListener.onObservation(told.service(), told.member(), told.observation());
+    } else if (message instanceof RelayMessage.News news) {
+      observationListener.onObservation(news.service(), news.member(), news.observation());
     }
   }
 
   /**
-   * The link to a holder broke; what was asked of it may or may not run.
+   * Handles the loss of the peer link to a holder; work that was sent to the holder is in doubt.
    *
    * @param name name of the holder
    */
   public void linkLost(String name) {
     Holder holder = holders.get(name);
     if (holder != null) {
-      loseStreams(holder, "the link to " + name + " broke");
+      loseStreams(holder, "the peer link to " + name + " was lost");
     }
   }
 
   /**
-   * No link to a holder came about. Work that was dropped, or not brought there yet, goes to
-   * another one; work that was on an earlier link is judged by {@link #linkLost}.
+   * Handles that no peer link to a holder could be established. Work that was dropped or not yet
+   * sent goes to another holder; work that was sent on an earlier link is handled by {@link
+   * #linkLost}.
    *
    * @param name name of the holder
-   * @param messages what was dropped
+   * @param messages dropped messages
    */
   public void undelivered(String name, List<Object> messages) {
     Holder holder = holders.get(name);
     if (holder == null) {
       return;
     }
-    suspect(name, holder, "no link comes about");
+    suspect(name, holder, "no peer link could be established");
     holder.established = false;
-    List<RelayChannel> notBrought = new ArrayList<>();
+    List<RelayChannel> unsent = new ArrayList<>();
     for (Object message : messages) {
       if (message instanceof RelayMessage.Open open) {
-        notBrought.add(holder.streams.remove(open.stream()));
+        unsent.add(holder.streams.remove(open.stream()));
       } else if (message instanceof RelayMessage.Continue next) {
-        loseStream(holder, next.stream(), "no link to " + name);
+        loseStream(holder, next.stream(), "no peer link to " + name);
       }
     }
-    holder.streams.values().stream().filter(each -> !each.mayHaveRun()).forEach(notBrought::add);
-    holder.streams.values().removeAll(notBrought);
-    notBrought.stream()
+    holder.streams.values().stream().filter(each -> !each.mayHaveRun()).forEach(unsent::add);
+    holder.streams.values().removeAll(unsent);
+    unsent.stream()
         .filter(Objects::nonNull)
-        .forEach(each -> each.notDelivered("no link to " + name));
+        .forEach(each -> each.notDelivered("no peer link to " + name));
   }
 
   private static void loseStream(Holder holder, long stream, String cause) {
@@ -262,65 +263,66 @@
     }
   }
 
-  /** Looks after the holders; to be called a few times a second. */
+  /** Pings or suspects unresponsive holders; to be called a few times per second. */
   public void check() {
     long now = worker.now();
-    List<String> silent = new ArrayList<>();
+    List<String> unresponsive = new ArrayList<>();
     for (Map.Entry<String, Holder> each : holders.entrySet()) {
-      if (isSilent(each.getValue(), now)) {
-        silent.add(each.getKey());
+      if (isUnresponsive(each.getValue(), now)) {
+        unresponsive.add(each.getKey());
       }
     }
-    // Apart, since what is done about them may bring in further holders.
-    silent.forEach(this::askOrSuspect);
+    // In a second loop, since failing their streams may add holders to the map.
+    unresponsive.forEach(this::pingOrSuspect);
   }
 
-  private static boolean isSilent(Holder holder, long now) {
+  private static boolean isUnresponsive(Holder holder, long now) {
     if (holder.suspected) {
-      return now - holder.pingedMillis >= SUSPECT_PING_MILLIS;
+      return now - holder.pingedMillis >= SUSPECT_PING_INTERVAL_MILLIS;
     }
     if (holder.pingedMillis != NOT_PINGED) {
-      return now - holder.pingedMillis >= PONG_MILLIS;
+      return now - holder.pingedMillis >= PONG_TIMEOUT_MILLIS;
     }
-    return !holder.streams.isEmpty() && owesAnswerSince(holder) < now - SILENCE_MILLIS;
+    return !holder.streams.isEmpty() && unansweredSince(holder) < now - PING_AFTER_MILLIS;
   }
 
-  private void askOrSuspect(String name) {
+  private void pingOrSuspect(String name) {
     Holder holder = holder(name);
-    if (holder.suspected && owesAnswerSince(holder) < worker.now() - SILENCE_MILLIS - PONG_MILLIS) {
-      loseStreams(holder, "the node " + name + " is silent");
+    if (holder.suspected
+        && unansweredSince(holder) < worker.now() - PING_AFTER_MILLIS - PONG_TIMEOUT_MILLIS) {
+      loseStreams(holder, "the node " + name + " does not respond");
     }
     if (holder.suspected || holder.pingedMillis == NOT_PINGED) {
       ping(name, holder);
       return;
     }
-    suspect(name, holder, "silent for " + (worker.now() - holder.heardMillis) + " ms");
-    loseStreams(holder, "the node " + name + " is silent");
-    askOthers();
+    suspect(name, holder, "no message for " + (worker.now() - holder.lastMessageMillis) + " ms");
+    loseStreams(holder, "the node " + name + " does not respond");
+    pingOthers();
   }
 
-  /** Nodes are often lost together, so the others are asked before statements find out. */
-  private void askOthers() {
+  /** Pings the other holders, since nodes often fail together, before more work is sent there. */
+  private void pingOthers() {
     long now = worker.now();
-    if (now - askedOthersMillis < ASK_OTHERS_MILLIS) {
+    if (now - othersPingedMillis < PING_OTHERS_INTERVAL_MILLIS) {
       return;
     }
-    askedOthersMillis = now;
+    othersPingedMillis = now;
     holders.forEach(
         (name, holder) -> {
-          if (now - holder.heardMillis > SILENCE_MILLIS) {
+          if (now - holder.lastMessageMillis > PING_AFTER_MILLIS) {
             sendPing(name);
           }
         });
   }
 
-  /** Time since which a holder has been silent though it owes an answer. */
-  private static long owesAnswerSince(Holder holder) {
+  /** Returns since when a holder with an unanswered step has sent nothing, or MAX_VALUE. */
+  private static long unansweredSince(Holder holder) {
     long oldest = Long.MAX_VALUE;
     for (RelayChannel channel : holder.streams.values()) {
       oldest = Math.min(oldest, channel.unansweredSinceMillis());
     }
-    return oldest == Long.MAX_VALUE ? oldest : Math.max(oldest, holder.heardMillis);
+    return oldest == Long.MAX_VALUE ? oldest : Math.max(oldest, holder.lastMessageMillis);
   }
 
   private void ping(String name, Holder holder) {
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayMessage.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayMessage.java
@@ -14,55 +14,55 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * Messages between a node that has a caller's statement and a node that holds connections to the
- * member that is to run it.
+ * Messages between a node that has a caller's statement and a holder of connections to the member
+ * that is to run it.
  *
  * <p>A stream is one unit of work: a statement, or a transaction. It ends with the answer that
  * leaves the member's session idle, with {@link Refused}, with {@link Ended}, or with the loss of
- * the link between the nodes. Its number is the sender's own and is never used again by the same
- * run of the sender.
+ * the peer link. Its number is assigned by the sender and never reused by the same incarnation of
+ * the sender.
  */
 public sealed interface RelayMessage {
-  /** What a member is asked to do. */
+  /** One command of a unit of work. */
   sealed interface Step {}
 
   /**
-   * A command that means the same on every connection.
+   * A command that has the same meaning on every connection.
    *
    * @param command a statement, the beginning of a transaction, or a rollback
    */
   record Direct(MemberCommand command) implements Step {}
 
   /**
-   * A caller's execution of a prepared statement; the holder knows the name under which the shape
-   * is prepared on its connection.
+   * A caller's execution of a prepared statement; the holder maps the shape to the name under which
+   * it is prepared on its connection.
    *
    * @param id identity of the caller's statement
-   * @param shape what is executed
+   * @param shape prepared statement
    * @param arguments the rest of the caller's text
-   * @param floor place that the member's log must have, or null
+   * @param floor position that the member's log must have reached, or null
    */
   record ExecuteShape(StatementId id, PreparedShape shape, String arguments, TermPosition floor)
       implements Step {}
 
-  /** Rolls back what is open and ends the stream; it is not answered. */
+  /** Rolls back the open transaction and ends the stream; it is not answered. */
   record Finish() implements Step {}
 
   /**
    * Opens a stream.
    *
-   * @param stream its number
+   * @param stream number of the stream
    * @param service service of the member
    * @param member the member
-   * @param tenant whose work it is
-   * @param anyTenant whether a connection of any tenant will do
-   * @param priority rank among those who wait for a connection; 0 is served first
+   * @param tenant tenant of the work
+   * @param anyTenant whether a connection of any tenant can be used
+   * @param priority priority among requests that wait for a connection; 0 is served first
    * @param needsPrimary whether only the primary can do the work
    * @param maxWaitMillis longest wait for a connection
    * @param values values of the caller's session
-   * @param steps what the member is asked, one after the other
-   * @param standIn whether the node shall stand in for the holders, of which none can be asked
-   * @param floor what a read needs, as of when this is sent, or null
+   * @param steps steps to run, one after the other
+   * @param standIn whether the receiver acts as a fallback holder, since no holder is available
+   * @param floor floor of a read as of the time of sending, or null
    */
   record Open(
       long stream,
@@ -78,7 +78,9 @@
       boolean standIn,
       ReadFloor floor)
       implements RelayMessage {
-    /** Identity of the first caller's statement, or null when only a transaction is begun. */
+    /**
+     * Returns the identity of the caller's first statement, or null if only a transaction begins.
+     */
     public StatementId firstStatement() {
       for (Step step : steps) {
         if (step instanceof ExecuteShape execute) {
@@ -93,61 +95,62 @@
   }
 
   /**
-   * Goes on with a transaction.
+   * Continues a transaction.
    *
-   * @param stream number of its stream
+   * @param stream number of the stream
    * @param values values of the caller's session, or null when they have not changed
-   * @param steps what the member is asked
+   * @param steps steps to run, one after the other
    */
   record Continue(long stream, Map<String, String> values, List<Step> steps)
       implements RelayMessage {}
 
   /**
-   * The sender is done; what is open is rolled back. Answered with {@link Ended}.
+   * Closes a stream and rolls back its open transaction. Answered with {@link Ended}.
    *
    * @param stream number of the stream
    */
   record Close(long stream) implements RelayMessage {}
 
   /**
-   * The sender no longer needs the answer. Work that waits for a connection is not begun and ends
-   * with {@link Ended}; what runs goes on, so that its connection is kept.
+   * Withdraws a request whose answer the sender no longer needs. Work that waits for a connection
+   * is not started and ends with {@link Ended}; running work continues, so that its connection is
+   * kept.
    *
    * @param stream number of the stream
    */
   record Withdraw(long stream) implements RelayMessage {}
 
   /**
-   * The member's answers to the steps that came together, up to the first that failed.
+   * The member's answers to the steps of one message, up to the first that failed.
    *
    * @param stream number of the stream
-   * @param answers whole answers, in order
-   * @param observation what the holder knows of the member
+   * @param answers complete answers, in order
+   * @param observation state of the member as the holder observes it
    */
   record Answered(long stream, List<Answer> answers, MemberObservation observation)
       implements RelayMessage, OneWayMessage {}
 
-  /** Why no connection is given. */
+  /** Why no connection is granted. */
   enum Refusal {
-    /** All are in use. */
+    /** All connections or slots are in use. */
     BUSY,
-    /** The holder can't reach the member, or the member leaves. */
+    /** The holder can't reach the member, or the member is draining. */
     MEMBER_UNUSABLE,
-    /** The node holds no connections to the member, or stops. */
+    /** The node holds no connections to the member, or is stopping. */
     NOT_HELD,
-    /** The member lacks the floor of the read for longer than that may wait. */
+    /** The member stays behind the floor of the read for longer than the read may wait. */
     BEHIND
   }
 
   /**
-   * No connection is given; the member was asked nothing.
+   * Refuses a connection; the member has run nothing.
    *
    * @param stream number of the stream
    * @param refusal kind of refusal
    * @param cause text for a person
-   * @param retryAfterMillis when there may be a connection
-   * @param observation what the holder knows of the member, or null when it holds no connections to
-   *     it
+   * @param retryAfterMillis time after which a connection may be available
+   * @param observation state of the member as the holder observes it, or null when the node holds
+   *     no connections to the member
    */
   record Refused(
       long stream,
@@ -158,33 +161,33 @@
       implements RelayMessage, OneWayMessage {}
 
   /**
-   * The stream has ended without an answer to what was asked last.
+   * Ends a stream without an answer to its newest steps.
    *
    * @param stream number of the stream
    * @param cause text for a person
    */
   record Ended(long stream, String cause) implements RelayMessage, OneWayMessage {}
 
-  /** Asks a holder that is silent for a sign of life. */
+  /** Requests a {@link Pong} from a holder that is unresponsive or has not responded yet. */
   record Ping() implements RelayMessage {}
 
-  /** Answers a {@link Ping} at once. */
+  /** Answers a {@link Ping} immediately. */
   record Pong() implements RelayMessage, OneWayMessage {}
 
   /**
-   * Tells what a holder knows of a member, to nodes that lately had work for it; it asks nothing.
+   * Sends a holder's observation of a member to nodes that recently relayed work to the holder.
    *
    * @param service service of the member
    * @param member the member
-   * @param observation what the holder knows
+   * @param observation state of the member as the holder observes it
    */
   record News(String service, MemberId member, MemberObservation observation)
       implements RelayMessage, OneWayMessage {}
 
   /**
-   * Tells which side of a relay the message is for.
+   * Returns which side of a relay the message is for.
    *
-   * @return true for the side that holds connections
+   * @return true for the holder, false for the sender of the work
    */
   default boolean isForHolder() {
     return this instanceof Open
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayServer.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayServer.java
@@ -16,8 +16,8 @@
 import org.streamcourse.version.image.MemberId;
 
 /**
- * The side of a relay that holds connections: brings other nodes' statements to members over this
- * node's own links.
+ * Server side of a relay, at a holder: runs other nodes' statements over this node's own links to
+ * members.
  *
  * <p>All methods run on the proxy's worker.
  */
@@ -25,34 +25,34 @@
   private static final Logger LOG = LoggerFactory.getLogger(RelayServer.class);
 
   /**
-   * Time beyond the longest rest of a transaction after which a stream's sender counts as gone; the
-   * sender itself ends a transaction that rests too long, and its word needs some time to come.
+   * Time beyond the idle timeout of transactions after which the sender of a stream counts as lost.
+   * The sender itself ends an idle transaction, and its message needs some time to arrive.
    */
-  private static final long GONE_MILLIS = 1_500;
+  private static final long SENDER_GRACE_MILLIS = 1_500;
 
   /**
-   * Time for which a sender is sent observations of members. With 86 nodes, 6 databases and 4
-   * holders of each member, a node asks a given holder every 12 s.
+   * Time for which a node that opened a stream is sent observations of members. With 86 nodes, 6
+   * databases and 4 holders per member, a node opens a stream at a given holder every 12 s.
    */
-  private static final long SENDER_KEPT_MILLIS = 30_000;
+  private static final long OBSERVER_RETENTION_MILLIS = 30_000;
 
-  /** This node's links. */
+  /** Finds this node's own links. */
   public interface Links {
     /**
      * Finds the links to a member.
      *
      * @param service service of the member
      * @param member the member
-     * @param standIn whether this node shall stand in for the member's holders
-     * @return links, or null when this node holds none
+     * @param fallback whether this node acts as a fallback holder of the member
+     * @return links, or null when this node holds no connections to the member
      */
-    MemberLinks held(String service, MemberId member, boolean standIn);
+    MemberLinks held(String service, MemberId member, boolean fallback);
   }
 
   private final Worker worker;
   private final PeerNetwork network;
   private final Links links;
-  private final LongSupplier longestRestMillis;
+  private final LongSupplier maxIdleMillis;
   private final RequestLog log;
   private final Map<String, Map<Long, RelayedWork>> streams = new TreeMap<>();
   private final Map<String, Long> senders = new TreeMap<>();
@@ -62,40 +62,36 @@
    * Creates a server without streams.
    *
    * @param worker the proxy's worker
-   * @param network way to the other nodes
+   * @param network sends messages to other nodes
    * @param links finds this node's links to members
-   * @param longestRestMillis time that a transaction may rest
-   * @param log tells what is decided about statements
+   * @param maxIdleMillis idle timeout of transactions
+   * @param log logs decisions about statements
    */
   public RelayServer(
-      Worker worker,
-      PeerNetwork network,
-      Links links,
-      LongSupplier longestRestMillis,
-      RequestLog log) {
+      Worker worker, PeerNetwork network, Links links, LongSupplier maxIdleMillis, RequestLog log) {
     this.worker = worker;
     this.network = network;
     this.links = links;
-    this.longestRestMillis = longestRestMillis;
+    this.maxIdleMillis = maxIdleMillis;
     this.log = log;
   }
 
-  /** Takes no new streams from now on; senders go to other holders. */
-  public void stopTaking() {
+  /** Refuses new streams from now on, so that senders use other holders. */
+  public void stopAccepting() {
     stopping = true;
   }
 
   /**
    * Returns the number of streams.
    *
-   * @return streams that are waiting, working or within a transaction
+   * @return streams that are waiting, running a step or in a transaction
    */
   public int streams() {
     return streams.values().stream().mapToInt(Map::size).sum();
   }
 
   /**
-   * Handles a message of a node that has callers' statements.
+   * Handles a message of a node that relays callers' statements.
    *
    * @param sender name of the node
    * @param message what arrived
@@ -108,14 +104,14 @@
       if (work == null) {
         send(sender, new RelayMessage.Ended(next.stream(), "the stream has ended here"));
       } else {
-        work.goOn(next.values(), next.steps());
+        work.continueWith(next.values(), next.steps());
       }
     } else if (message instanceof RelayMessage.Close close) {
       RelayedWork work = find(sender, close.stream());
       if (work != null) {
-        work.giveUp("closed by its sender");
+        work.abandon("closed by its sender");
       }
-      // Also a sign of life: a sender that hears nothing takes the link for stuck.
+      // Also keeps the peer link alive: a sender without any message takes the link for stuck.
       send(sender, new RelayMessage.Ended(close.stream(), "closed by its sender"));
     } else if (message instanceof RelayMessage.Withdraw withdrawn) {
       withdraw(find(sender, withdrawn.stream()));
@@ -125,15 +121,15 @@
   }
 
   /**
-   * Tells the nodes that lately had work for members here what is known of one.
+   * Sends an observation of a member to the nodes that recently opened streams here.
    *
    * @param service service of the member
    * @param member the member
-   * @param observation what is known
+   * @param observation state of the member as this node observes it
    */
   public void sendObservation(String service, MemberId member, MemberObservation observation) {
     long now = worker.now();
-    senders.values().removeIf(opened -> now - opened > SENDER_KEPT_MILLIS);
+    senders.values().removeIf(opened -> now - opened > OBSERVER_RETENTION_MILLIS);
     senders
         .keySet()
         .forEach(name -> send(name, new RelayMessage.News(service, member, observation)));
@@ -143,7 +139,8 @@
     senders.put(sender, worker.now());
     MemberLinks held = stopping ? null : links.held(open.service(), open.member(), open.standIn());
     if (held == null) {
-      String cause = stopping ? "the node stops" : "no connections to the member are held here";
+      String cause =
+          stopping ? "the node is stopping" : "the node holds no connections to the member";
       refuse(sender, open, RelayMessage.Refusal.NOT_HELD, cause, 0, null);
       return;
     }
@@ -152,7 +149,7 @@
     work.start();
   }
 
-  /** Tells that the member was asked nothing. */
+  /** Refuses a stream of which the member has run nothing. */
   void refuse(
       String sender,
       RelayMessage.Open open,
@@ -166,7 +163,7 @@
         new RelayMessage.Refused(open.stream(), refusal, cause, retryAfterMillis, observation));
   }
 
-  /** Tells that a stream ends with an answer owed. */
+  /** Logs that a stream ended while an answer was outstanding. */
   void endedUnanswered(String sender, RelayMessage.Open open, boolean hadLink, String cause) {
     log.endedUnanswered(open, sender, hadLink, cause);
   }
@@ -175,13 +172,13 @@
     return streams.getOrDefault(sender, Map.of()).get(stream);
   }
 
-  // ---- for the work of one stream ----
+  // ---- used by RelayedWork ----
 
   void send(String sender, RelayMessage message) {
     network.send(sender, message);
   }
 
-  void forget(String sender, long stream) {
+  void removeStream(String sender, long stream) {
     Map<Long, RelayedWork> ofSender = streams.get(sender);
     if (ofSender != null) {
       ofSender.remove(stream);
@@ -192,45 +189,47 @@
     return worker.now();
   }
 
-  void later(long millis, Runnable task) {
+  void schedule(long millis, Runnable task) {
     worker.schedule(millis, task);
   }
 
-  // ---- senders that are gone ----
+  // ---- lost senders ----
 
   /**
-   * The link to a sender broke: its streams are given up, and what is open in them is rolled back.
+   * Handles the loss of the peer link to a sender: its streams are abandoned and their open
+   * transactions rolled back.
    *
    * @param sender name of the node
    */
   public void linkLost(String sender) {
     Map<Long, RelayedWork> lost = streams.remove(sender);
     if (lost != null) {
-      lost.values().forEach(work -> giveUp(work, "the link between the nodes broke"));
+      lost.values().forEach(work -> abandon(work, "the peer link to the sender was lost"));
     }
   }
 
-  /** Gives up the streams of senders that rest for longer than they may; to be called regularly. */
+  /** Abandons streams that were idle for too long; to be called regularly. */
   public void check() {
-    long longest = longestRestMillis.getAsLong() + GONE_MILLIS;
-    List<RelayedWork> gone = new ArrayList<>();
+    long longest = maxIdleMillis.getAsLong() + SENDER_GRACE_MILLIS;
+    List<RelayedWork> expired = new ArrayList<>();
     for (Map<Long, RelayedWork> ofSender : streams.values()) {
-      ofSender.values().stream().filter(work -> work.restsFor() > longest).forEach(gone::add);
+      ofSender.values().stream().filter(work -> work.idleMillis() > longest).forEach(expired::add);
     }
-    for (RelayedWork work : gone) {
-      LOG.info("relayed stream of {} is given up: silent for {} ms", work.sender(), longest);
-      giveUp(work, "it rested too long");
+    for (RelayedWork work : expired) {
+      LOG.info(
+          "relayed stream of {} is abandoned: idle for more than {} ms", work.sender(), longest);
+      abandon(work, "the transaction was idle for too long");
     }
   }
 
   private void withdraw(RelayedWork work) {
     if (work != null && !work.hasLink()) {
-      giveUp(work, "withdrawn by its sender");
+      abandon(work, "withdrawn by its sender");
     }
   }
 
-  private void giveUp(RelayedWork work, String cause) {
-    work.giveUp(cause);
+  private void abandon(RelayedWork work, String cause) {
+    work.abandon(cause);
     send(work.sender(), new RelayMessage.Ended(work.stream(), cause));
   }
 }
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayTypes.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayTypes.java
@@ -10,9 +10,9 @@
 import org.streamcourse.request.statement.SessionState;
 import org.streamcourse.request.statement.StatementId;
 
-/** Lists the types that nodes exchange when one holds connections for others. */
+/** Types of the messages between holders and the nodes that relay work to them. */
 public final class RelayTypes {
-  /** Types in the order that numbers them. */
+  /** The types in the order of their numbers on the wire. */
   public static final List<Class<?>> ALL =
       List.of(
           StatementId.class,
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayedFloor.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayedFloor.java
@@ -4,27 +4,28 @@
 import org.streamcourse.connection.member.ReadFloor;
 
 /**
- * How long a relayed read waits at the holder for the member to have its floor. The holder is
- * nearest to the member and knows most of it: a read that is sent there too early is answered
- * BEHIND, and takes a way and a place in the member's queue.
+ * Time for which a relayed read waits at the holder until the member reaches its floor. The holder
+ * waits because it is nearest to the member and has the newest observations: a read that is sent to
+ * the member too early is answered BEHIND, and costs a round trip and a place in the member's
+ * queue.
  *
  * <p>All methods run on the proxy's worker.
  */
 final class RelayedFloor {
-  /** Times that the member is asked; a second BEHIND shows that its lag is not known well. */
-  private static final int MOST_ASKED = 2;
+  /** Maximum number of attempts; a second BEHIND shows that the lag estimate is wrong. */
+  private static final int MAX_ATTEMPTS = 2;
 
   private final ReadFloor floor;
   private final MemberState state;
   private final long arrivedMillis;
-  private int asked;
+  private int attempts;
 
   /**
    * Creates the wait of one stream.
    *
-   * @param floor what the read needs, or null for work that needs nothing
-   * @param state what is known of the member
-   * @param now present time
+   * @param floor floor of the read, or null for work without one
+   * @param state state of the member
+   * @param now current time
    */
   RelayedFloor(ReadFloor floor, MemberState state, long now) {
     this.floor = floor;
@@ -39,24 +40,24 @@
     return floor.after(now - arrivedMillis);
   }
 
-  /** Expected time until the member can serve the read, in milliseconds. */
-  long untilServed(long now) {
+  /** Estimates the time until the member reaches the floor, in milliseconds. */
+  long catchUpMillis(long now) {
     return floor == null ? 0 : state.estimatedCatchUpMillis(asOf(now));
   }
 
-  /** Whether the caller is served sooner elsewhere than after a wait. */
+  /** Returns whether a wait is longer than the read may wait, so that another member is better. */
   boolean isTooLate(long waitMillis, long now) {
     return waitMillis > 0 && waitMillis > asOf(now).maxWaitMillis();
   }
 
-  /** The member lacked the floor; tells whether the read may ask it again after a pause. */
-  boolean mayAskAgain(long now) {
+  /** Records that the member was behind the floor; returns whether to retry after a wait. */
+  boolean mayRetry(long now) {
     if (floor == null) {
       return false;
     }
-    ReadFloor present = asOf(now);
-    state.onBehind(present);
-    asked++;
-    return asked < MOST_ASKED && !isTooLate(untilServed(now), now);
+    ReadFloor current = asOf(now);
+    state.onBehind(current);
+    attempts++;
+    return attempts < MAX_ATTEMPTS && !isTooLate(catchUpMillis(now), now);
   }
 }
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayedWork.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayedWork.java
@@ -16,12 +16,12 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * One stream at the node that holds connections: waits for a link, and runs one step after the
- * other on it. A step that follows a failed one is not run.
+ * One stream at a holder: waits for a link, and runs one step after the other on it. A step after a
+ * failed one is not run.
  */
 final class RelayedWork implements LinkRequest {
-  /** Pause before work begins anew, so that work that ends its links ends only a few. */
-  private static final long ANEW_MILLIS = 20;
+  /** Pause before work is restarted, so that work that ends its links ends only a few. */
+  private static final long RESTART_PAUSE_MILLIS = 20;
 
   private final RelayServer server;
   private final String sender;
@@ -34,14 +34,14 @@
   private MemberLink link;
   private boolean working;
   private boolean ended;
-  private long lastMillis;
+  private long lastActivityMillis;
   private final RelayedFloor floor;
   private RelayMessage.Step lastStep;
 
-  /** Whether the sender has been told an answer, or the member answered a caller's statement. */
+  /** Whether an answer was sent to the sender, or the member answered a caller's statement. */
   private boolean begun;
 
-  /** Time until which the work may wait for a connection, or begin on one anew. */
+  /** Time until which the work may wait for a connection or be restarted. */
   private final long untilMillis;
 
   RelayedWork(RelayServer server, String sender, RelayMessage.Open open, MemberLinks links) {
@@ -50,28 +50,28 @@
     this.open = open;
     this.links = links;
     this.values = open.values();
-    this.lastMillis = server.now();
-    this.untilMillis = lastMillis + open.maxWaitMillis();
+    this.lastActivityMillis = server.now();
+    this.untilMillis = lastActivityMillis + open.maxWaitMillis();
     this.floor = new RelayedFloor(open.floor(), links.state(), server.now());
     steps.addAll(open.steps());
   }
 
   /**
-   * Asks for a link once the member is expected to have what the read needs, or refuses when that
-   * is too late.
+   * Requests a link once the member is expected to have reached the floor of the read, or refuses
+   * the work when that is too late.
    */
   void start() {
     if (ended) {
       return;
     }
-    long catchUpMillis = floor.untilServed(server.now());
+    long catchUpMillis = floor.catchUpMillis(server.now());
     if (floor.isTooLate(catchUpMillis, server.now())) {
       refuse(
           RelayMessage.Refusal.BEHIND,
-          "the member lacks the floor for another " + catchUpMillis + " ms",
+          "the member is behind the floor for another " + catchUpMillis + " ms",
           catchUpMillis);
     } else if (catchUpMillis > 0) {
-      server.later(catchUpMillis, this::start);
+      server.schedule(catchUpMillis, this::start);
     } else {
       links.acquire(this);
     }
@@ -85,16 +85,16 @@
     return open.stream();
   }
 
-  /** Time for which the sender has owed the next step, in milliseconds; 0 while it owes none. */
-  long restsFor() {
-    return link == null || working ? 0 : server.now() - lastMillis;
+  /** Returns for how long the stream has waited for the sender's next step, in milliseconds. */
+  long idleMillis() {
+    return link == null || working ? 0 : server.now() - lastActivityMillis;
   }
 
   boolean hasLink() {
     return link != null;
   }
 
-  // ---- the wish for a link ----
+  // ---- link request ----
 
   @Override
   public TenantId tenant() {
@@ -155,17 +155,17 @@
 
   private void refuse(RelayMessage.Refusal refusal, String cause, long retryAfterMillis) {
     ended = true;
-    server.forget(sender, open.stream());
+    server.removeStream(sender, open.stream());
     server.refuse(sender, open, refusal, cause, retryAfterMillis, links.state().observation());
   }
 
   // ---- steps ----
 
-  void goOn(Map<String, String> changed, List<RelayMessage.Step> more) {
+  void continueWith(Map<String, String> changed, List<RelayMessage.Step> more) {
     begun = true;
     values = changed == null ? values : changed;
     steps.addAll(more);
-    lastMillis = server.now();
+    lastActivityMillis = server.now();
     if (link != null && !working) {
       next();
     }
@@ -183,7 +183,7 @@
     working = true;
     lastStep = step;
     link.applyValues(values);
-    StepEnd end = new StepEnd(begun || !isBeginning(step));
+    StepEnd end = new StepEnd(begun || !isBeginTransaction(step));
     if (begun) {
       link.run(command(step), end);
     } else {
@@ -191,7 +191,7 @@
     }
   }
 
-  private static boolean isBeginning(RelayMessage.Step step) {
+  private static boolean isBeginTransaction(RelayMessage.Step step) {
     return step instanceof RelayMessage.Direct direct
         && direct.command() instanceof MemberCommand.BeginTransaction;
   }
@@ -205,24 +205,24 @@
     return ((RelayMessage.Direct) step).command();
   }
 
-  /** The member was asked no statement of a caller: the work begins anew while there is time. */
-  private void beginAnew(String cause) {
+  /** Restarts the work while there is time; the member has run none of the caller's statements. */
+  private void restart(String cause) {
     working = false;
     steps.clear();
     steps.addAll(open.steps());
     answers.clear();
-    MemberLink given = link;
+    MemberLink released = link;
     link = null;
-    links.releaseRolledBack(given);
-    if (server.now() + ANEW_MILLIS < untilMillis) {
-      server.later(ANEW_MILLIS, this::start);
+    links.releaseRolledBack(released);
+    if (server.now() + RESTART_PAUSE_MILLIS < untilMillis) {
+      server.schedule(RESTART_PAUSE_MILLIS, this::start);
     } else {
       refused(cause, links.estimatedWaitMillis());
     }
   }
 
   private final class StepEnd implements CommandListener {
-    /** Whether the work may have run once this step was sent. */
+    /** Whether the member may have run the work once this step is sent. */
     private final boolean begins;
 
     StepEnd(boolean begins) {
@@ -232,14 +232,14 @@
     @Override
     public void answered(Answer answer) {
       working = false;
-      lastMillis = server.now();
+      lastActivityMillis = server.now();
       links.state().onAnswer(answer.position());
       if (ended) {
         return;
       }
       boolean behind = answer.code() == AnswerCode.BEHIND && answer.state() == SessionState.IDLE;
-      if (behind && floor.mayAskAgain(server.now())) {
-        askAgainLater();
+      if (behind && floor.mayRetry(server.now())) {
+        retryStep();
         return;
       }
       begun |= begins;
@@ -249,11 +249,11 @@
         steps.clear();
       }
       if (answer.code() == AnswerCode.UNKNOWN_NAME) {
-        // What this node believes to be prepared there is not.
+        // The statement that this node prepared is no longer prepared on the connection.
         link.close();
       }
       if (steps.isEmpty() || steps.peek() instanceof RelayMessage.Finish) {
-        tellAnswers();
+        sendAnswers();
       }
       boolean idle = answer.state() == SessionState.IDLE && steps.isEmpty();
       if (idle || finishing) {
@@ -263,16 +263,16 @@
       }
     }
 
-    /** Nothing was run; the member has the place a moment later, sooner than another is asked. */
-    private void askAgainLater() {
+    /** Retries the step, which didn't run: the member catches up before another could answer. */
+    private void retryStep() {
       steps.addFirst(lastStep);
-      MemberLink given = link;
+      MemberLink released = link;
       link = null;
-      links.releaseRolledBack(given);
+      links.releaseRolledBack(released);
       start();
     }
 
-    private void tellAnswers() {
+    private void sendAnswers() {
       begun = true;
       server.send(
           sender,
@@ -284,7 +284,7 @@
     @Override
     public void notSent(String cause) {
       if (!ended && !begun) {
-        beginAnew(cause);
+        restart(cause);
       } else {
         lost(cause);
       }
@@ -293,32 +293,32 @@
     @Override
     public void lost(String cause) {
       if (!ended && !begins) {
-        beginAnew(cause);
+        restart(cause);
       } else if (!ended) {
-        server.endedUnanswered(sender, open, true, "the member was lost: " + cause);
+        server.endedUnanswered(sender, open, true, "member link lost: " + cause);
         working = false;
         end();
-        server.send(sender, new RelayMessage.Ended(open.stream(), "the member was lost: " + cause));
+        server.send(sender, new RelayMessage.Ended(open.stream(), "member link lost: " + cause));
       }
     }
   }
 
-  /** Ends before all is answered. */
-  void giveUp(String cause) {
-    boolean owesAnswer = link == null || working;
-    if (!ended && owesAnswer) {
+  /** Ends the work while answers may be outstanding. */
+  void abandon(String cause) {
+    boolean unanswered = link == null || working;
+    if (!ended && unanswered) {
       server.endedUnanswered(sender, open, link != null, cause);
     }
     end();
   }
 
-  /** Gives the link back, rolled back where something is open on it. */
+  /** Ends the work and releases its link, after a rollback if a transaction is open. */
   void end() {
     if (ended) {
       return;
     }
     ended = true;
-    server.forget(sender, open.stream());
+    server.removeStream(sender, open.stream());
     if (link == null) {
       return;
     }
--- a/server/src/main/java/org/streamcourse/connection/relay/package-info.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Brings statements to a member through another node of the fleet that holds connections to it, for
- * nodes that hold none: a member accepts fewer connections than there are nodes.
+ * Relays statements to a member through a holder, another node of the fleet with connections to the
+ * member, because a member accepts fewer connections than there are nodes.
  */
 package org.streamcourse.connection.relay;
--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -158,7 +158,7 @@
     relayClient.check();
     quotas.check();
     if (agent.isCutOff()) {
-      peerProber.takeTurn(image());
+      peerProber.probeNext(image());
     }
   }
 
@@ -224,7 +224,7 @@
   /** Ends each session, and each that is opened later, as soon as nothing is open in it. */
   public void drainSessions() {
     draining = true;
-    relayServer.stopTaking();
+    relayServer.stopAccepting();
     List.copyOf(sessions).forEach(ClientSession::drain);
   }
 
--- a/server/src/test/java/org/streamcourse/connection/relay/HolderOrderTest.java
+++ b/server/src/test/java/org/streamcourse/connection/relay/HolderOrderTest.java
@@ -12,14 +12,17 @@
 import org.streamcourse.version.image.TenantId;
 import org.testng.annotations.Test;
 
-/** Tenants keep to one holder of a member's connections each, and together use all of them. */
+/**
+ * All nodes prefer the same holder of a member's connections for a tenant, and the tenants are
+ * spread over all holders.
+ */
 public class HolderOrderTest {
   private static final MemberId MEMBER = new MemberId("i-1");
   private static final List<String> HOLDERS = List.of("a", "b", "c", "d");
   private static final List<String> OTHER_ORDER = List.of("c", "a", "d", "b");
 
   @Test
-  public void allNodesAskTheSameHolderForATenant() {
+  public void allNodesPreferTheSameHolderForATenant() {
     Map<String, Integer> first = new HashMap<>();
     for (int i = 0; i < 72; i++) {
       TenantId tenant = new TenantId("t" + i);
@@ -32,7 +35,7 @@
   }
 
   @Test
-  public void aTenantsHoldersOfSeveralMembersDiffer() {
+  public void theHoldersOfATenantDifferBetweenMembers() {
     Set<String> first = new HashSet<>();
     for (int i = 0; i < 18; i++) {
       first.add(HolderOrder.of(HOLDERS, new MemberId("i-" + i), new TenantId("t")).get(0));
@@ -41,7 +44,7 @@
   }
 
   @Test
-  public void withoutATenantANodesOwnOrderStays() {
+  public void withoutATenantTheGivenOrderIsKept() {
     assertEquals(HolderOrder.of(OTHER_ORDER, MEMBER, TenantId.NONE), OTHER_ORDER);
   }
 }
--- a/server/src/test/java/org/streamcourse/request/routing/StatementRelayTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/StatementRelayTest.java
@@ -298,7 +298,7 @@
 
   @Test
   public void aHolderThatStopsIsLeftForAnother() {
-    nodes.get(firstHolder(ScriptedService.PRIMARY)).server.stopTaking();
+    nodes.get(firstHolder(ScriptedService.PRIMARY)).server.stopAccepting();
     write("w");
     service.pass(200);
     assertEquals(service.completed(), 1);
