--- a/server/src/main/java/org/streamcourse/connection/member/LinkAllowance.java
+++ b/server/src/main/java/org/streamcourse/connection/member/LinkAllowance.java
@@ -36,9 +36,9 @@
   /** Starts or extends a fallback if the agreed share permits one; returns whether it starts. */
   boolean startFallback(long now) {
     fallbackUntilMillis = now + FALLBACK_MILLIS;
-    boolean begins = !fallback && share.standInLinks() > share.links();
-    fallback |= begins;
-    return begins;
+    boolean starts = !fallback && share.standInLinks() > share.links();
+    fallback |= starts;
+    return starts;
   }
 
   /** Returns whether this node is a fallback holder that no request has needed recently. */
--- a/server/src/main/java/org/streamcourse/connection/member/MemberState.java
+++ b/server/src/main/java/org/streamcourse/connection/member/MemberState.java
@@ -138,14 +138,14 @@
   private long ownSilentMillis() {
     long now = clock.getAsLong();
     long oldestSentMillis = oldestUnansweredMillis.getAsLong();
-    long silent =
+    long outstandingMillis =
         oldestSentMillis == Long.MAX_VALUE ? 0 : now - Math.max(oldestSentMillis, lastAnswerMillis);
-    if (silent > HUNG_MILLIS) {
-      hungMillis = silent;
+    if (outstandingMillis > HUNG_MILLIS) {
+      hungMillis = outstandingMillis;
       hungAtMillis = now;
-      return silent;
+      return outstandingMillis;
     }
-    return now - hungAtMillis < hungMillis ? hungMillis : silent;
+    return now - hungAtMillis < hungMillis ? hungMillis : outstandingMillis;
   }
 
   /**
--- a/server/src/main/java/org/streamcourse/connection/member/TcpMemberProbe.java
+++ b/server/src/main/java/org/streamcourse/connection/member/TcpMemberProbe.java
@@ -100,7 +100,7 @@
     }
 
     @Override
-    public void responded(MemberLink heard) {
+    public void responded(MemberLink responding) {
       // answered() handles the response.
     }
 
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayClient.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayClient.java
@@ -222,7 +222,7 @@
   public void linkLost(String name) {
     Holder holder = holders.get(name);
     if (holder != null) {
-      loseStreams(holder, "the peer link to " + name + " was lost");
+      failStreams(holder, "the peer link to " + name + " was lost");
     }
   }
 
@@ -246,7 +246,7 @@
       if (message instanceof RelayMessage.Open open) {
         unsent.add(holder.streams.remove(open.stream()));
       } else if (message instanceof RelayMessage.Continue next) {
-        loseStream(holder, next.stream(), "no peer link to " + name);
+        failStream(holder, next.stream(), "no peer link to " + name);
       }
     }
     holder.streams.values().stream().filter(each -> !each.mayHaveRun()).forEach(unsent::add);
@@ -256,7 +256,7 @@
         .forEach(each -> each.notDelivered("no peer link to " + name));
   }
 
-  private static void loseStream(Holder holder, long stream, String cause) {
+  private static void failStream(Holder holder, long stream, String cause) {
     RelayChannel channel = holder.streams.remove(stream);
     if (channel != null) {
       channel.lost(cause);
@@ -290,14 +290,14 @@
     Holder holder = holder(name);
     if (holder.suspected
         && unansweredSince(holder) < worker.now() - PING_AFTER_MILLIS - PONG_TIMEOUT_MILLIS) {
-      loseStreams(holder, "the node " + name + " does not respond");
+      failStreams(holder, "the node " + name + " does not respond");
     }
     if (holder.suspected || holder.pingedMillis == NOT_PINGED) {
       ping(name, holder);
       return;
     }
     suspect(name, holder, "no message for " + (worker.now() - holder.lastMessageMillis) + " ms");
-    loseStreams(holder, "the node " + name + " does not respond");
+    failStreams(holder, "the node " + name + " does not respond");
     pingOthers();
   }
 
@@ -338,7 +338,7 @@
     }
   }
 
-  private static void loseStreams(Holder holder, String cause) {
+  private static void failStreams(Holder holder, String cause) {
     holder.established = false;
     holder.pingedMillis = holder.suspected ? holder.pingedMillis : NOT_PINGED;
     List<RelayChannel> lost = List.copyOf(holder.streams.values());
--- a/server/src/main/java/org/streamcourse/connection/relay/RelayedWork.java
+++ b/server/src/main/java/org/streamcourse/connection/relay/RelayedWork.java
@@ -39,7 +39,7 @@
   private RelayMessage.Step lastStep;
 
   /** Whether an answer was sent to the sender, or the member answered a caller's statement. */
-  private boolean begun;
+  private boolean started;
 
   /** Time until which the work may wait for a connection or be restarted. */
   private final long untilMillis;
@@ -162,7 +162,7 @@
   // ---- steps ----
 
   void continueWith(Map<String, String> changed, List<RelayMessage.Step> more) {
-    begun = true;
+    started = true;
     values = changed == null ? values : changed;
     steps.addAll(more);
     lastActivityMillis = server.now();
@@ -183,8 +183,8 @@
     working = true;
     lastStep = step;
     link.applyValues(values);
-    StepEnd end = new StepEnd(begun || !isBeginTransaction(step));
-    if (begun) {
+    StepEnd end = new StepEnd(started || !isBeginTransaction(step));
+    if (started) {
       link.run(command(step), end);
     } else {
       link.run(command(step), end, untilMillis);
@@ -223,10 +223,10 @@
 
   private final class StepEnd implements CommandListener {
     /** Whether the member may have run the work once this step is sent. */
-    private final boolean begins;
+    private final boolean mayRunWork;
 
-    StepEnd(boolean begins) {
-      this.begins = begins;
+    StepEnd(boolean mayRunWork) {
+      this.mayRunWork = mayRunWork;
     }
 
     @Override
@@ -242,7 +242,7 @@
         retryStep();
         return;
       }
-      begun |= begins;
+      started |= mayRunWork;
       answers.add(answer);
       if (!answer.isComplete()) {
         finishing = steps.peekLast() instanceof RelayMessage.Finish;
@@ -273,7 +273,7 @@
     }
 
     private void sendAnswers() {
-      begun = true;
+      started = true;
       server.send(
           sender,
           new RelayMessage.Answered(
@@ -283,7 +283,7 @@
 
     @Override
     public void notSent(String cause) {
-      if (!ended && !begun) {
+      if (!ended && !started) {
         restart(cause);
       } else {
         lost(cause);
@@ -292,7 +292,7 @@
 
     @Override
     public void lost(String cause) {
-      if (!ended && !begins) {
+      if (!ended && !mayRunWork) {
         restart(cause);
       } else if (!ended) {
         server.endedUnanswered(sender, open, true, "member link lost: " + cause);
