--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -158,7 +158,7 @@
     relayClient.check();
     quotas.check();
     if (agent.isCutOff()) {
-      peerProber.takeTurn(image());
+      peerProber.probeNext(image());
     }
   }
 
@@ -175,7 +175,7 @@
   private void reportMembers(String service, ServiceMembers members) {
     for (MemberLinks links : members.all()) {
       String member = links.member().id().value();
-      boolean heardLately = worker.now() - links.lastHeardMillis() < HEARD_LATELY_MILLIS;
+      boolean heardLately = worker.now() - links.lastResponseMillis() < HEARD_LATELY_MILLIS;
       if (links.isUnreachable() || heardLately) {
         TermPosition position = members.position(links.member().id());
         MemberStatus status =
@@ -224,7 +224,7 @@
   /** Ends each session, and each that is opened later, as soon as nothing is open in it. */
   public void drainSessions() {
     draining = true;
-    relayServer.stopTaking();
+    relayServer.stopAccepting();
     List.copyOf(sessions).forEach(ClientSession::drain);
   }
 
--- a/server/src/main/java/org/streamcourse/request/routing/MemberWatch.java
+++ b/server/src/main/java/org/streamcourse/request/routing/MemberWatch.java
@@ -83,7 +83,7 @@
   }
 
   private void probe(MemberLinks links, TenantId reader) {
-    ReplicaProbe.ask(links, reader);
+    ReplicaProbe.probe(links, reader);
     if (worker.now() - primaryProbedMillis >= PRIMARY_PROBE_MILLIS) {
       primaryProbedMillis = worker.now();
       members.probePrimaryPosition(reader, () -> {});
--- a/server/src/main/java/org/streamcourse/request/routing/ServiceMembers.java
+++ b/server/src/main/java/org/streamcourse/request/routing/ServiceMembers.java
@@ -203,8 +203,8 @@
         id.equals(primary),
         stats(id).times.expectedMillis(worker.now()),
         links.used(),
-        Math.max(links.estimatedWaitMillis(), known.toldWaitMillis()),
-        id.equals(primary) ? 0 : known.untilServes(floor),
+        Math.max(links.estimatedWaitMillis(), known.reportedWaitMillis()),
+        id.equals(primary) ? 0 : known.estimatedCatchUpMillis(floor),
         known.silentMillis());
   }
 
@@ -237,7 +237,7 @@
   void recordPrimaryPosition(long sentMillis, TermPosition position) {
     primaryPositions.add(sentMillis, position);
     long age = worker.now() - sentMillis;
-    members.values().forEach(links -> links.state().primaryHad(position, age));
+    members.values().forEach(links -> links.state().onPrimaryPosition(position, age));
   }
 
   /** Records the answer time and log position of a member. */
@@ -251,7 +251,7 @@
     }
     MemberLinks links = members.get(id);
     if (links != null && links.holdsLinks()) {
-      links.state().heard(position);
+      links.state().onAnswer(position);
     }
   }
 
@@ -266,7 +266,7 @@
   void recordBehind(MemberId id, ReadFloor floor) {
     MemberLinks links = members.get(id);
     if (links != null) {
-      links.state().lacks(floor);
+      links.state().onBehind(floor);
     }
   }
 
--- a/server/src/test/java/org/streamcourse/request/routing/StatementRelayTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/StatementRelayTest.java
@@ -301,7 +301,7 @@
 
   @Test
   public void aStatementIsSentToAnotherHolderWhenOneStops() {
-    nodes.get(firstHolder(ScriptedService.PRIMARY)).server.stopTaking();
+    nodes.get(firstHolder(ScriptedService.PRIMARY)).server.stopAccepting();
     write("w");
     service.pass(200);
     assertEquals(service.completed(), 1);
