--- a/lab/src/main/java/org/streamcourse/lab/fleet/AdminClient.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/AdminClient.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.streamcourse.process.settings.HostPort;
 
-/** Operators' statements for a lab: executed at whichever controller answers. */
+/** Executes operators' statements at the first controller that accepts them. */
 public final class AdminClient {
   private static final String ADMIN_DATABASE = "admin";
 
@@ -26,11 +26,11 @@
   }
 
   /**
-   * Executes a statement at the first controller that carries it out.
+   * Executes a statement at the first controller, by name, that accepts it.
    *
    * @param sql the statement
    * @return rows by column name
-   * @throws SQLException when no controller carried it out; the last one's error
+   * @throws SQLException when no controller executed the statement; the error of the last one
    */
   public List<Map<String, String>> execute(String sql) throws SQLException {
     SQLException last = null;
@@ -41,7 +41,7 @@
         last = e;
       }
     }
-    throw last == null ? new SQLException("there are no controllers") : last;
+    throw last == null ? new SQLException("fleet has no controllers") : last;
   }
 
   private static List<Map<String, String>> execute(HostPort address, String sql)
--- a/lab/src/main/java/org/streamcourse/lab/fleet/Fleet.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/Fleet.java
@@ -16,33 +16,34 @@
 import org.streamcourse.version.image.Placement;
 
 /**
- * A whole fleet on loopback: three controllers, two proxies in each region, three members of each
- * database, and relays between all of them that add the profile's latencies.
+ * A complete fleet of processes on loopback: by default three controllers, two proxies in each
+ * region and three members of each database, connected by relays that add the profile's latencies.
  */
 public final class Fleet implements AutoCloseable {
-  /** User of callers, operators and members. */
+  /** User name of callers and operators, and of proxies at members. */
   public static final String USER = "app";
 
-  /** Another user of callers, to see how users share a member. */
+  /** Second user name of callers, for tests of how users share a member's connections. */
   public static final String OTHER_USER = "desk";
 
-  /** Password of these users. */
+  /** Password of both users. */
   public static final String PASSWORD = "app-password";
 
-  /** Secret of the fleet. */
+  /** Secret with which the fleet's processes authenticate each other. */
   public static final String FLEET_KEY = "lab-fleet-key";
 
-  private static final long READY_SECONDS = 90;
+  private static final long READY_TIMEOUT_SECONDS = 90;
   private static final long POLL_MILLIS = 50;
 
   /**
    * Options of a fleet.
    *
-   * @param readPolicy policy of the proxies
-   * @param lagMillis delay before replicas apply, by region index; missing ones have none
+   * @param readPolicy read policy of the proxies
+   * @param lagMillis delay before replicas apply their log, by region index; no delay in other
+   *     regions
    * @param latencies whether relays add the profile's latencies
    * @param controllers number of controllers, spread over the regions
-   * @param proxies number of proxies, two in each region before a further round begins
+   * @param proxies number of proxies, assigned two at a time to each region in turn
    */
   public record Options(
       String readPolicy,
@@ -53,14 +54,15 @@
     private static final int CONTROLLERS = 3;
     private static final int PROXIES = 6;
 
-    /** Values of a plain fleet. */
+    /** Options of a fleet of the default size, without replica lag. */
     public static final Options DEFAULT = new Options("nearest-fresh", Map.of(), true);
 
     /**
-     * Options of a fleet of the usual size.
+     * Creates options for a fleet of the default size.
      *
-     * @param readPolicy policy of the proxies
-     * @param lagMillis delay before replicas apply, by region index; missing ones have none
+     * @param readPolicy read policy of the proxies
+     * @param lagMillis delay before replicas apply their log, by region index; no delay in other
+     *     regions
      * @param latencies whether relays add the profile's latencies
      */
     public Options(String readPolicy, Map<Integer, Long> lagMillis, boolean latencies) {
@@ -74,8 +76,8 @@
    * @param database group's name
    * @param member member's name
    * @param placement region and zone
-   * @param sql its SQL address
-   * @param process its process
+   * @param sql address for SQL connections
+   * @param process the member's process
    */
   public record MemberHandle(
       String database, String member, Placement placement, HostPort sql, FleetProcess process) {}
@@ -85,10 +87,10 @@
    *
    * @param name node's name
    * @param placement region and zone
-   * @param callers address for callers, behind the relay that adds their latency
-   * @param direct address without relay
-   * @param metrics address of its metrics
-   * @param process its process
+   * @param callers address for callers, through the relay that adds caller latency
+   * @param direct address for callers without that relay
+   * @param metrics address of the metrics endpoint
+   * @param process the proxy's process
    */
   public record ProxyHandle(
       String name,
@@ -102,12 +104,12 @@
   private final AdminClient admin;
 
   /**
-   * Prepares a fleet.
+   * Lays out a fleet without starting its processes.
    *
    * @param profile placements and sizes
    * @param folder folder for settings, data and logs
    * @param options further options
-   * @throws IOException when ports or files can't be had
+   * @throws IOException when no port is free or a file can't be written
    */
   public Fleet(Profile profile, Path folder, Options options) throws IOException {
     layout = new FleetLayout(profile, folder, options);
@@ -119,7 +121,7 @@
   /**
    * Starts all processes, creates the groups and waits until every proxy serves every database.
    *
-   * @throws Exception when the fleet does not get ready
+   * @throws Exception when the fleet is not ready within 90 s
    */
   public void start() throws Exception {
     for (FleetProcess controller : layout.controllers().values()) {
@@ -175,7 +177,7 @@
           List<Map<String, String>> rows =
               admin("SHOW MEMBERS WHERE role = 'PRIMARY' AND reachable = true");
           if (rows.size() < layout.profile().databases().size()) {
-            throw new SQLException("primaries so far: " + rows.size());
+            throw new SQLException(rows.size() + " groups have a reachable primary");
           }
           return rows;
         });
@@ -197,13 +199,14 @@
   }
 
   private static <T> T retry(String what, Attempt<T> attempt) throws Exception {
-    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
     while (true) {
       try {
         return attempt.run();
       } catch (SQLException e) {
         if (System.nanoTime() > deadline) {
-          throw new IllegalStateException("not ready in time: " + what + ": " + e, e);
+          throw new IllegalStateException(
+              "fleet not ready within " + READY_TIMEOUT_SECONDS + " s: " + what + ": " + e, e);
         }
         TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
       }
@@ -211,24 +214,24 @@
   }
 
   /**
-   * Executes an operator's statement at any controller that answers.
+   * Executes an operator's statement at the first controller that accepts it.
    *
    * @param sql the statement
    * @return rows by column name
-   * @throws SQLException when no controller carried it out
+   * @throws SQLException when no controller executed the statement
    */
   public List<Map<String, String>> admin(String sql) throws SQLException {
     return admin.execute(sql);
   }
 
   /**
-   * Opens a caller's connection.
+   * Opens a caller's SQL connection.
    *
-   * @param address a proxy's address, or a member's for a direct one
+   * @param address address of a proxy, or of a member for a direct connection
    * @param database database name
-   * @param floor floor token to hand in, empty for none
+   * @param floor floor token to send at login, empty for none
    * @return connection
-   * @throws SQLException when it can't be opened
+   * @throws SQLException when the connection can't be opened
    */
   public static Connection connect(HostPort address, String database, String floor)
       throws SQLException {
@@ -236,14 +239,14 @@
   }
 
   /**
-   * Opens a caller's connection.
+   * Opens a caller's SQL connection.
    *
-   * @param address a proxy's address, or a member's for a direct one
+   * @param address address of a proxy, or of a member for a direct connection
    * @param database database name
    * @param user caller's user
-   * @param floor floor token to hand in, empty for none
+   * @param floor floor token to send at login, empty for none
    * @return connection
-   * @throws SQLException when it can't be opened
+   * @throws SQLException when the connection can't be opened
    */
   public static Connection connect(HostPort address, String database, String user, String floor)
       throws SQLException {
@@ -261,11 +264,11 @@
   }
 
   /**
-   * Finds the primary's process.
+   * Returns the current primary of a group.
    *
    * @param database group's name
-   * @return member that is primary now
-   * @throws SQLException when the controllers don't answer
+   * @return primary according to the controllers
+   * @throws SQLException when no controller replies
    */
   public MemberHandle primary(String database) throws SQLException {
     List<Map<String, String>> rows = admin("SHOW GROUPS WHERE group = " + database);
@@ -273,7 +276,7 @@
   }
 
   /**
-   * Finds a member.
+   * Returns a member by name.
    *
    * @param database group's name
    * @param name member's name
@@ -287,10 +290,10 @@
   }
 
   /**
-   * Cuts or heals all relays whose route fulfils a condition; routes look like {@code link:p1->c2},
+   * Cuts or heals all relays whose route matches a predicate. Routes look like {@code link:p1->c2},
    * {@code sql:p1->scheduling/m1} or {@code log:scheduling/m1->m2}.
    *
-   * @param routes condition on the route
+   * @param routes predicate on the route
    * @param cut true to cut, false to heal
    */
   public void setCut(java.util.function.Predicate<String> routes, boolean cut) {
@@ -309,7 +312,7 @@
   }
 
   /**
-   * Returns the relays between all parts.
+   * Returns the relays between callers, processes and members.
    *
    * @return relays by route, see {@link #setCut}
    */
@@ -318,10 +321,10 @@
   }
 
   /**
-   * Returns the folder of a process' data.
+   * Returns the data folder of a process.
    *
    * @param process process name
-   * @return folder, which need not exist
+   * @return folder, which may not exist
    */
   public Path dataFolder(String process) {
     return layout.folder().resolve("data-" + process);
@@ -374,9 +377,9 @@
   }
 
   /**
-   * Returns the platform's list of machines, which the controllers read.
+   * Returns the stub of the platform's list of machines, which the controllers poll.
    *
-   * @return stand-in
+   * @return stub server
    */
   public MachineList machineList() {
     return layout.machineList();
@@ -394,10 +397,10 @@
     return all;
   }
 
-  /** Kills all processes and closes all relays. */
+  /** Kills all processes permanently and closes all relays. */
   @Override
   public void close() {
-    processes().forEach(FleetProcess::killForGood);
+    processes().forEach(FleetProcess::killPermanently);
     layout.close();
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/fleet/FleetCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/FleetCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Starts a fleet that stays up until SIGTERM. */
+/** Starts a fleet and runs it until SIGTERM. */
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
--- a/lab/src/main/java/org/streamcourse/lab/fleet/FleetLayout.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/FleetLayout.java
@@ -15,8 +15,8 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * What a fleet consists of: ports, settings files, relays between all parts, and the processes with
- * their arguments.
+ * Assigns a fleet's ports, writes its settings files, opens the relays between its parts, and
+ * prepares its processes with their arguments.
  */
 final class FleetLayout {
   private static final int MEMBER_HEAP_MB = 320;
@@ -42,12 +42,12 @@
   private final MachineList machineList;
 
   /**
-   * Lays out a fleet: ports, settings files, relays and processes that do not run yet.
+   * Lays out a fleet: ports, settings files, relays, and processes that are not started yet.
    *
    * @param profile placements and sizes
    * @param folder folder for settings, data and logs
    * @param options further options
-   * @throws IOException when ports or files can't be had
+   * @throws IOException when no port is free or a file can't be written
    */
   FleetLayout(Profile profile, Path folder, Fleet.Options options) throws IOException {
     this.profile = profile;
@@ -122,7 +122,7 @@
     members.add(new Fleet.MemberHandle(database, name, placement, sql, process));
   }
 
-  /** Opens a relay from one placement to an address at another; returns where to connect. */
+  /** Opens a relay that adds the latency between two placements; returns its listen address. */
   private HostPort relay(String route, Placement from, Placement to, HostPort target)
       throws IOException {
     long delay = options.latencies() ? profile.latencyMicros(from, to) : 0;
@@ -272,7 +272,7 @@
     return machineList;
   }
 
-  /** Closes all relays and the list of machines, and gives the ports back. */
+  /** Closes the relays and the stub of the list of machines, and releases the ports. */
   void close() {
     machineList.close();
     relays.values().forEach(Relay::close);
--- a/lab/src/main/java/org/streamcourse/lab/fleet/FleetProcess.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/FleetProcess.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One process that the lab started, and how to start it again. */
+/** A child process of the lab that can be killed, paused and started again. */
 public final class FleetProcess {
   private static final String CLASS_PATH = System.getProperty("java.class.path");
 
@@ -17,16 +17,16 @@
   private final List<String> command;
   private final File log;
   private Process process;
-  private boolean ended;
+  private boolean killedPermanently;
   private String logLevel;
 
   /**
-   * Describes a process.
+   * Prepares a process without starting it.
    *
-   * @param name name for its log file
-   * @param heapMegabytes largest heap
+   * @param name process name, also the name of the log file
+   * @param heapMegabytes maximum heap size
    * @param mainClass class to run
-   * @param arguments its arguments
+   * @param arguments arguments of the main class
    * @param folder folder for the log file
    */
   public FleetProcess(
@@ -48,16 +48,16 @@
   }
 
   /**
-   * Lets it log at a level, whatever level the lab itself runs with.
+   * Sets the process' log level from the next start on, independent of the lab's own level.
    *
    * @param level such as {@code INFO}
    */
-  public void logAt(String level) {
+  public void setLogLevel(String level) {
     logLevel = level;
   }
 
   /**
-   * Starts it, or starts it again after it has ended.
+   * Starts the process, also again after it has ended.
    *
    * @throws IOException when the process can't be started
    */
@@ -66,21 +66,21 @@
   }
 
   /**
-   * Starts it again without one of its arguments.
+   * Starts the process without one of its arguments.
    *
-   * @param argument such as {@code --bootstrap}, which is for the first start only
+   * @param argument such as {@code --bootstrap}, which is valid at the first start only
    * @throws IOException when the process can't be started
    */
   public void startWithout(String argument) throws IOException {
     launch(command.stream().filter(each -> !each.equals(argument)).toList());
   }
 
-  private synchronized void launch(List<String> words) throws IOException {
-    if (ended) {
-      throw new IllegalStateException(name + " has been ended for good");
+  private synchronized void launch(List<String> commandLine) throws IOException {
+    if (killedPermanently) {
+      throw new IllegalStateException(name + " can't start: it was killed permanently");
     }
     ProcessBuilder builder =
-        new ProcessBuilder(words)
+        new ProcessBuilder(commandLine)
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log));
     if (logLevel != null) {
@@ -99,24 +99,24 @@
   }
 
   /**
-   * Returns the process number.
+   * Returns the process id.
    *
-   * @return pid of the present run
+   * @return pid since the last start
    */
   public long pid() {
     return process.pid();
   }
 
   /**
-   * Tells whether it runs.
+   * Returns whether the process runs.
    *
-   * @return true while it does
+   * @return true from its start until its end
    */
   public boolean isAlive() {
     return process != null && process.isAlive();
   }
 
-  /** Kills it without warning. */
+  /** Kills the process with SIGKILL. */
   public void kill() {
     if (process != null) {
       process.destroyForcibly();
@@ -124,13 +124,13 @@
     }
   }
 
-  /** Kills it without warning and lets nobody start it again. */
-  public synchronized void killForGood() {
-    ended = true;
+  /** Kills the process with SIGKILL; later starts fail. */
+  public synchronized void killPermanently() {
+    killedPermanently = true;
     kill();
   }
 
-  /** Tells it to stop, without waiting. */
+  /** Sends SIGTERM without waiting for the process' end. */
   public void terminate() {
     if (process != null) {
       process.destroy();
@@ -138,10 +138,10 @@
   }
 
   /**
-   * Waits for its end.
+   * Waits for the process to end.
    *
-   * @param seconds longest time to wait
-   * @return whether it has ended
+   * @param seconds timeout
+   * @return whether the process has ended
    */
   public boolean await(long seconds) {
     try {
@@ -153,20 +153,20 @@
   }
 
   /**
-   * Freezes it, so that it keeps its connections and does nothing.
+   * Pauses the process with SIGSTOP; its connections stay open and get no replies.
    *
    * @throws IOException when the signal can't be sent
    */
-  public void freeze() throws IOException {
+  public void pause() throws IOException {
     signal("STOP");
   }
 
   /**
-   * Lets it run on.
+   * Resumes a paused process with SIGCONT.
    *
    * @throws IOException when the signal can't be sent
    */
-  public void thaw() throws IOException {
+  public void resume() throws IOException {
     signal("CONT");
   }
 
--- a/lab/src/main/java/org/streamcourse/lab/fleet/MachineList.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/MachineList.java
@@ -11,7 +11,7 @@
 import org.streamcourse.process.settings.HostPort;
 
 /**
- * Stand-in for the platform's list of machines, in the format of Prometheus' HTTP service
+ * Stub of the platform's list of machines, served in the format of Prometheus' HTTP service
  * discovery.
  */
 public final class MachineList {
@@ -23,8 +23,8 @@
   /**
    * Starts to serve an empty list.
    *
-   * @param address where to serve it
-   * @throws IOException when the address can't be listened at
+   * @param address listen address
+   * @throws IOException when the address can't be bound
    */
   public MachineList(HostPort address) throws IOException {
     server = HttpServer.create(new InetSocketAddress(address.host(), address.port()), 0);
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Changes the list.
+   * Replaces the list.
    *
-   * @param addresses machines that leave from now on, as {@code IP:PORT}
+   * @param addresses machines to report as leaving, as {@code IP:PORT}
    */
   public void setLeaving(Set<String> addresses) {
     leaving = Set.copyOf(addresses);
--- a/lab/src/main/java/org/streamcourse/lab/fleet/Ports.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/Ports.java
@@ -8,44 +8,44 @@
 import org.streamcourse.process.settings.HostPort;
 
 /**
- * Gives out free loopback ports, each once. They lie below those that the system gives to outgoing
- * connections, so none is taken between its choice and the start of the process that listens there.
- * They come from blocks that are claimed by listening at a block's first port, so that fleets that
- * run at the same time, also those of other labs, do not choose the same ones.
+ * Allocates free loopback ports, each once. The ports lie below the ephemeral range, so that no
+ * outgoing connection takes one between its allocation and the start of the process that listens on
+ * it. They come from blocks; a block is reserved by listening on its first port, so that fleets
+ * that run at the same time, also in other lab processes, get different ports.
  */
 public final class Ports implements AutoCloseable {
   private static final String LOOPBACK = "127.0.0.1";
   private static final int FIRST = 10_000;
 
-  /** Linux gives outgoing connections ports from 32,768 on. */
+  /** First port of Linux' default ephemeral range. */
   private static final int END = 32_768;
 
-  /** Ports of a block; a fleet of some 13 processes with their relays needs two. */
+  /** Ports in a block; a fleet of about 13 processes with relays needs two blocks. */
   private static final int BLOCK = 100;
 
   private static final int BLOCKS = (END - FIRST) / BLOCK;
 
   private static int nextBlock = (int) (ProcessHandle.current().pid() % BLOCKS);
 
-  private final List<ServerSocket> claims = new ArrayList<>();
+  private final List<ServerSocket> reservations = new ArrayList<>();
   private int next;
   private int end;
 
-  /** Claims its first block with the first port. */
+  /** Creates an allocator; the first call of {@link #next} reserves its first block. */
   public Ports() {
-    // Begins without a block.
+    // Starts without a block.
   }
 
   /**
-   * Finds a free port.
+   * Allocates a free port.
    *
    * @return loopback address with the port
-   * @throws IOException when no port can be had
+   * @throws IOException when no block of ports is free
    */
   public synchronized HostPort next() throws IOException {
     while (true) {
       if (next == end) {
-        claimBlock();
+        reserveBlock();
       }
       int port = next++;
       if (isFree(port)) {
@@ -54,18 +54,18 @@
     }
   }
 
-  /** Gives the blocks back; nothing may listen at their ports any more. */
+  /** Releases the blocks; no process may listen on their ports any more. */
   @Override
   public synchronized void close() {
-    claims.forEach(Ports::release);
-    claims.clear();
+    reservations.forEach(Ports::release);
+    reservations.clear();
     next = end;
   }
 
-  private void claimBlock() throws IOException {
+  private void reserveBlock() throws IOException {
     for (int i = 0; i < BLOCKS; i++) {
-      int first = FIRST + advance() * BLOCK;
-      if (claims(first)) {
+      int first = FIRST + nextBlockIndex() * BLOCK;
+      if (reserve(first)) {
         next = first + 1;
         end = first + BLOCK;
         return;
@@ -74,27 +74,27 @@
     throw new IOException("no block of ports from " + FIRST + " to " + (END - 1) + " is free");
   }
 
-  private static synchronized int advance() {
+  private static synchronized int nextBlockIndex() {
     int block = nextBlock;
     nextBlock = (block + 1) % BLOCKS;
     return block;
   }
 
-  private boolean claims(int port) {
+  private boolean reserve(int port) {
     try {
-      claims.add(listen(port));
+      reservations.add(listen(port));
       return true;
     } catch (IOException e) {
-      // Another fleet holds the block; the next one is tried.
+      // Another fleet has reserved the block; the caller tries the next one.
       return false;
     }
   }
 
-  private static void release(ServerSocket claim) {
+  private static void release(ServerSocket reservation) {
     try {
-      claim.close();
+      reservation.close();
     } catch (IOException e) {
-      // The process' end closes it.
+      // The socket closes at the end of this process.
     }
   }
 
@@ -102,7 +102,7 @@
     try (ServerSocket probe = listen(port)) {
       return probe.isBound();
     } catch (IOException e) {
-      // Another process listens there; the next port is tried.
+      // Another process listens on the port; the caller tries the next one.
       return false;
     }
   }
--- a/lab/src/main/java/org/streamcourse/lab/fleet/Profile.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/Profile.java
@@ -4,18 +4,18 @@
 import org.streamcourse.version.image.Placement;
 
 /**
- * The placements, sizes and latencies of one of the users.
+ * Regions, sizes and latencies of the fleet of one of the product's users.
  *
  * @param name profile's name
  * @param regions region names; each has two zones
  * @param databases group names; each has one member in each region
- * @param connections connections that a member accepts
- * @param slots statements that a member runs at the same time
- * @param connectMillis time of a connect to a member
+ * @param connections connection limit of a member
+ * @param slots statements that a member runs concurrently
+ * @param connectMillis time that a member takes to accept a connection
  * @param zoneMicros one-way latency between zones of a region, in microseconds
  * @param regionMicros one-way latency between regions, in microseconds
  * @param callerMicros one-way latency between callers and proxies, in microseconds
- * @param readShare share of reads in the users' traffic
+ * @param readShare share of reads in the user's traffic
  */
 public record Profile(
     String name,
@@ -31,7 +31,7 @@
   /** Zones of each region. */
   public static final int ZONES_PER_REGION = 2;
 
-  /** The community stations. */
+  /** Profile of the community radio stations. */
   public static final Profile STATIONS =
       new Profile(
           "stations",
@@ -45,7 +45,7 @@
           3_000,
           0.8);
 
-  /** The flash card makers. */
+  /** Profile of the flash card makers' association. */
   public static final Profile ASSOCIATION =
       new Profile(
           "association",
@@ -60,9 +60,9 @@
           0.95);
 
   /**
-   * Finds a profile.
+   * Returns a profile by name.
    *
-   * @param name its name
+   * @param name profile's name
    * @return profile
    */
   public static Profile named(String name) {
@@ -76,10 +76,10 @@
   }
 
   /**
-   * Returns a placement.
+   * Returns the placement of a zone.
    *
    * @param region index of the region
-   * @param zone index of the zone in it
+   * @param zone index of the zone in that region
    * @return placement
    */
   public Placement placement(int region, int zone) {
@@ -90,8 +90,8 @@
   /**
    * Returns the one-way latency between two placements.
    *
-   * @param from one placement
-   * @param to the other
+   * @param from placement of the sender
+   * @param to placement of the receiver
    * @return microseconds
    */
   public long latencyMicros(Placement from, Placement to) {
--- a/lab/src/main/java/org/streamcourse/lab/fleet/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Starts whole fleets of real processes on loopback, with the users' placements and sizes. */
+/** Starts complete fleets of real processes on loopback, sized as the product's users run them. */
 package org.streamcourse.lab.fleet;
--- a/lab/src/main/java/org/streamcourse/lab/soak/ProcessFaults.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/ProcessFaults.java
@@ -69,11 +69,11 @@
   }
 
   private static String pause(FleetProcess process, long lastsMillis) throws Exception {
-    process.freeze();
+    process.pause();
     try {
       TimeUnit.MILLISECONDS.sleep(lastsMillis);
     } finally {
-      process.thaw();
+      process.resume();
     }
     return "paused";
   }
--- a/lab/src/main/java/org/streamcourse/lab/soak/SoakRun.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/SoakRun.java
@@ -42,7 +42,7 @@
             settings.edges());
     fleet = new Fleet(profile(settings.groups()), settings.folder(), options);
     // Failed requests are told at this level.
-    fleet.processes().forEach(each -> each.logAt("INFO"));
+    fleet.processes().forEach(each -> each.setLogLevel("INFO"));
   }
 
   private static Profile profile(int groups) {
--- a/lab/src/test/java/org/streamcourse/lab/fleet/PortsTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/fleet/PortsTest.java
@@ -12,11 +12,11 @@
 import org.streamcourse.process.settings.HostPort;
 import org.testng.annotations.Test;
 
-/** Labs that run at the same time choose different ports. */
+/** Lab processes that run at the same time allocate different ports. */
 public class PortsTest {
-  private static final int PORTS_OF_A_FLEET = 250;
+  private static final int PORTS_PER_FLEET = 250;
 
-  /** Classes of its own have statics of their own, as another process has. */
+  /** Loads a second copy of {@link Ports} with its own static fields, as in another process. */
   private static final class OtherLab extends ClassLoader {
     private static final String COPIED = Ports.class.getName();
 
@@ -44,32 +44,34 @@
   }
 
   /**
-   * Both labs begin at the same block, as two processes do whose ids differ by a multiple of the
-   * number of blocks. Nothing listens at the ports yet, as before the processes have started.
+   * Guards against two labs that get the same port. Both start at the same block, as two processes
+   * do whose ids differ by a multiple of the number of blocks, and no process listens on the
+   * allocated ports yet.
    */
   @Test
-  public void labsThatChooseAtTheSameTimeShareNoPort() throws Exception {
-    List<HostPort> chosen = new ArrayList<>();
+  public void concurrentLabsAllocateDifferentPorts() throws Exception {
+    List<HostPort> allocated = new ArrayList<>();
     List<AutoCloseable> labs = new ArrayList<>();
     try {
       for (int lab = 0; lab < 2; lab++) {
         Class<?> ports = new OtherLab().loadClass(Ports.class.getName());
         Object opened = ports.getConstructor().newInstance();
         labs.add((AutoCloseable) opened);
-        choose(opened, ports.getMethod("next"), chosen);
+        allocate(opened, ports.getMethod("next"), allocated);
       }
     } finally {
       for (AutoCloseable lab : labs) {
         lab.close();
       }
     }
-    Set<HostPort> distinct = new HashSet<>(chosen);
-    assertEquals(distinct.size(), chosen.size(), "ports of two labs: " + chosen);
+    Set<HostPort> distinct = new HashSet<>(allocated);
+    assertEquals(distinct.size(), allocated.size(), "ports of two labs: " + allocated);
   }
 
-  private static void choose(Object ports, Method next, List<HostPort> chosen) throws Exception {
-    for (int i = 0; i < PORTS_OF_A_FLEET; i++) {
-      chosen.add((HostPort) next.invoke(ports));
+  private static void allocate(Object ports, Method next, List<HostPort> allocated)
+      throws Exception {
+    for (int i = 0; i < PORTS_PER_FLEET; i++) {
+      allocated.add((HostPort) next.invoke(ports));
     }
   }
 }
--- a/lab/src/test/java/org/streamcourse/lab/process/FailureTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/FailureTest.java
@@ -131,12 +131,12 @@
   @Test(priority = 2)
   public void primaryFreezesAndWakesUp() throws Exception {
     Fleet.MemberHandle primary = fleet.primary(database);
-    primary.process().freeze();
+    primary.process().pause();
     try {
       awaitOtherPrimary(primary.member());
       awaitBookings();
     } finally {
-      primary.process().thaw();
+      primary.process().resume();
     }
     awaitAllMembersReachable();
     awaitBookings();
@@ -232,12 +232,12 @@
   @Test(priority = 6)
   public void leaderIsFrozenAndWakesUp() throws Exception {
     String leader = leader();
-    fleet.controllers().get(leader).freeze();
+    fleet.controllers().get(leader).pause();
     try {
       awaitLeader(each -> !each.equals(leader));
       awaitBookings();
     } finally {
-      fleet.controllers().get(leader).thaw();
+      fleet.controllers().get(leader).resume();
     }
     awaitBookings();
   }
--- a/lab/src/test/java/org/streamcourse/lab/process/PlannedStopLogTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/PlannedStopLogTest.java
@@ -29,7 +29,7 @@
             StreamcourseCommand.class,
             List.of("proxy", "--config=" + settings(folder, ports)),
             folder);
-    proxy.logAt("INFO");
+    proxy.setLogLevel("INFO");
     proxy.start();
     try {
       await().atMost(PATIENCE).until(() -> Files.readString(log).contains("accepts callers"));
@@ -39,7 +39,7 @@
       assertTrue(lines.contains("proxy p1 is stopping"), lines);
       assertTrue(lines.contains("proxy p1 has stopped"), lines);
     } finally {
-      proxy.killForGood();
+      proxy.killPermanently();
       ports.close();
     }
   }
