--- a/lab/src/main/java/org/streamcourse/lab/bench/BenchCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/BenchCommand.java
@@ -260,7 +260,7 @@
     callers.start();
     TimeUnit.SECONDS.sleep(COMPILE_SECONDS);
     Journal journal = callers.journal();
-    journal.forgetLatencies();
+    journal.resetLatencies();
     long cpuBefore = costs.cpuNanos();
     TimeUnit.SECONDS.sleep(THROUGHPUT_SECONDS);
     callers.stop();
--- a/lab/src/main/java/org/streamcourse/lab/soak/ExplainScore.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/ExplanationSampler.java
@@ -12,25 +12,25 @@
 import org.streamcourse.process.explain.Explanation;
 import org.streamcourse.process.explain.RequestExplainer;
 
-/** Draws failed requests and looks up whether the logs alone explain them. */
-final class ExplainScore {
-  private static final int DRAWN = 10;
+/** Samples failed requests and checks whether the log files alone explain their outcome. */
+final class ExplanationSampler {
+  private static final int SAMPLE_SIZE = 10;
 
   private final Path logs;
   private final UniformRandomProvider random;
 
-  ExplainScore(Path logs, long seed) {
+  ExplanationSampler(Path logs, long seed) {
     this.logs = logs;
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
-  /** Draws up to ten of the failed requests whose answers told an id, and explains each. */
-  List<Explained> draw(List<FailedRequest> failed) {
-    List<FailedRequest> left = new ArrayList<>(failed);
-    left.sort(Comparator.comparing(FailedRequest::request));
+  /** Explains up to ten failed requests, drawn at random from those whose error names an id. */
+  List<Explained> sample(List<FailedRequest> failed) {
+    List<FailedRequest> remaining = new ArrayList<>(failed);
+    remaining.sort(Comparator.comparing(FailedRequest::request));
     List<Explained> explained = new ArrayList<>();
-    while (!left.isEmpty() && explained.size() < DRAWN) {
-      explained.add(explain(left.remove(random.nextInt(left.size())).request()));
+    while (!remaining.isEmpty() && explained.size() < SAMPLE_SIZE) {
+      explained.add(explain(remaining.remove(random.nextInt(remaining.size())).request()));
     }
     return explained;
   }
@@ -40,7 +40,7 @@
       Explanation found = new RequestExplainer(logs).explain(request);
       return new Explained(request, found.ofRequest().size(), found.isFinal());
     } catch (StreamcourseException e) {
-      // No line names it, which the check reports.
+      // No log line names the request; the EXPLAINED check reports zero steps as a violation.
       return new Explained(request, 0, false);
     }
   }
--- a/lab/src/main/java/org/streamcourse/lab/soak/Fault.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/Fault.java
@@ -2,12 +2,12 @@
 
 import org.streamcourse.lab.relay.Relay;
 
-/** Something that is done to a fleet from outside its processes. */
+/** A fault or operator's action that is applied to a fleet from outside its processes. */
 sealed interface Fault {
 
   /** A fault of the connections on some routes. */
   sealed interface RouteFault extends Fault {
-    /** Returns the routes that it concerns. */
+    /** Returns the affected routes. */
     RouteSet routes();
   }
 
@@ -17,7 +17,7 @@
     String process();
   }
 
-  /** Something that hits whichever member is primary when it begins. */
+  /** A fault of the member that is primary of a group when the fault begins. */
   sealed interface PrimaryFault extends Fault {
     /** Returns the name of the group. */
     String database();
@@ -34,35 +34,35 @@
   /** Adds a one-way delay, in microseconds. */
   record SlowRoutes(RouteSet routes, long micros) implements RouteFault {}
 
-  /** Breaks all connections at once. */
+  /** Closes all open connections on the routes. */
   record ResetConnections(RouteSet routes) implements RouteFault {}
 
-  /** Holds back both directions, as in a partition. */
+  /** Forwards no data in either direction, as in a network partition. */
   record CutRoutes(RouteSet routes) implements RouteFault {}
 
-  /** Holds back one direction. */
+  /** Forwards no data in one direction. */
   record CutOneWay(RouteSet routes, Relay.Direction direction) implements RouteFault {}
 
-  /** Silences the connections of before for good; new ones work after the fault's time. */
+  /** Open connections forward no data any more; new ones work once the fault has ended. */
   record SilenceConnections(RouteSet routes) implements RouteFault {}
 
   // ---- processes ----
 
-  /** Stops it with SIGSTOP and lets it go on. */
+  /** Pauses a process with SIGSTOP and resumes it with SIGCONT. */
   record PauseProcess(String process) implements ProcessFault {}
 
-  /** Kills it and starts it again. */
+  /** Kills a process and starts it again. */
   record KillProcess(String process) implements ProcessFault {}
 
-  /** Tells it to stop with SIGTERM and starts it again once it has ended. */
+  /** Sends SIGTERM to a process and starts it again once it has ended. */
   record StopProcess(String process) implements ProcessFault {}
 
   // ---- storage ----
 
-  /** Kills it, deletes its data folder and starts it again. */
+  /** Kills a process, deletes its data folder and starts it again. */
   record LoseStorage(String process) implements ProcessFault {}
 
-  /** Starts it on a data folder that can't be written, and then again on the one of before. */
+  /** Restarts a process on a data folder that can't be written, then on its own folder again. */
   record RefuseStorage(String process) implements ProcessFault {}
 
   // ---- members ----
@@ -70,18 +70,18 @@
   /** Kills the primary and starts it again. */
   record CrashPrimary(String database) implements PrimaryFault {}
 
-  /** Pauses the primary. */
+  /** Pauses the primary and resumes it. */
   record PausePrimary(String database) implements PrimaryFault {}
 
-  /** Lets a member apply its log late. */
+  /** Delays a member's application of its log. */
   record LagMember(String database, String member, long lagMillis) implements Fault {}
 
   // ---- operators ----
 
-  /** Changes a rule of a group. */
+  /** Changes the staleness limit of a group. */
   record ChangeConfiguration(String database, long maxStalenessMillis) implements OperatorAction {}
 
-  /** Asks for a planned change of primary. */
+  /** Orders a planned change of primary. */
   record SwitchPrimary(String database, String member) implements OperatorAction {}
 
   /** Drains a member and restores it. */
--- a/lab/src/main/java/org/streamcourse/lab/soak/FaultEvent.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/FaultEvent.java
@@ -1,11 +1,11 @@
 package org.streamcourse.lab.soak;
 
 /**
- * What became of a planned fault.
+ * The execution of a planned fault.
  *
- * @param planned the plan
- * @param beganMillis when it began, from the begin of the run
- * @param endedMillis when it was undone
- * @param outcome what was done, or why it was left out
+ * @param planned the planned fault
+ * @param beganMillis time from the start of the run to the start of the fault
+ * @param endedMillis time from the start of the run until the fault was undone
+ * @param outcome what was done, or why the fault was skipped
  */
 record FaultEvent(PlannedFault planned, long beganMillis, long endedMillis, String outcome) {}
--- a/lab/src/main/java/org/streamcourse/lab/soak/FaultInjector.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/FaultInjector.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.streamcourse.lab.fleet.Fleet;
 
-/** Carries out a plan, each fault on a thread of its own, and notes what became of it. */
+/** Executes a plan, each fault on its own thread, and records the outcome of each fault. */
 final class FaultInjector {
   private final List<PlannedFault> plan;
   private final Progress progress;
@@ -25,11 +25,11 @@
     this.operators = new OperatorActions(fleet);
   }
 
-  /** Carries out the whole plan; returns once every fault is undone. */
+  /** Executes the whole plan; returns once every fault is undone. */
   void run() throws InterruptedException {
     List<Thread> threads = new ArrayList<>();
     for (PlannedFault planned : plan) {
-      Thread thread = new Thread(() -> carryOut(planned), "fault-" + threads.size());
+      Thread thread = new Thread(() -> execute(planned), "fault-" + threads.size());
       thread.setDaemon(true);
       threads.add(thread);
       thread.start();
@@ -39,35 +39,33 @@
     }
   }
 
-  /** Returns what became of the faults, in the order of their begin. */
+  /** Returns the executed faults in the order in which they began. */
   List<FaultEvent> events() {
     return events.stream().sorted(Comparator.comparingLong(FaultEvent::beganMillis)).toList();
   }
 
-  /** Returns the newest configuration version that an operator was told is accepted. */
+  /** Returns the highest configuration version that a controller accepted from an operator. */
   long acceptedVersion() {
     return operators.acceptedVersion();
   }
 
-  private void carryOut(PlannedFault planned) {
+  private void execute(PlannedFault planned) {
     try {
       TimeUnit.MILLISECONDS.sleep(Math.max(0, planned.atMillis() - progress.nowMillis()));
       long began = progress.nowMillis();
-      progress.tell("begins " + planned.fault() + " for " + planned.lastsMillis() + " ms");
+      progress.print("begins " + planned.fault() + " for " + planned.lastsMillis() + " ms");
       String outcome = outcomeOf(planned);
       events.add(new FaultEvent(planned, began, progress.nowMillis(), outcome));
-      progress.tell("ended  " + planned.fault() + ": " + outcome);
+      progress.print("ended  " + planned.fault() + ": " + outcome);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /**
-   * A fault that can't be carried out, such as one of a group without primary, is noted as such.
-   */
+  /** Executes a fault; one that fails, as for a group without primary, is recorded as left out. */
   private String outcomeOf(PlannedFault planned) throws InterruptedException {
     try {
-      return carryOut(planned.fault(), planned.lastsMillis());
+      return execute(planned.fault(), planned.lastsMillis());
     } catch (InterruptedException e) {
       throw e;
     } catch (Exception e) {
@@ -75,7 +73,7 @@
     }
   }
 
-  private String carryOut(Fault fault, long lastsMillis) throws Exception {
+  private String execute(Fault fault, long lastsMillis) throws Exception {
     if (fault instanceof Fault.RouteFault onRoutes) {
       return routes.run(onRoutes, lastsMillis);
     } else if (fault instanceof Fault.ProcessFault onProcess) {
--- a/lab/src/main/java/org/streamcourse/lab/soak/FaultPlan.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/FaultPlan.java
@@ -12,29 +12,30 @@
 import org.streamcourse.lab.relay.Relay;
 
 /**
- * The faults of a run, a function of the seed, the length and the topology alone.
+ * The faults of a run, determined by the seed, the run's length and the topology alone.
  *
- * <p>Kinds are drawn like cards, so that each comes once before any comes again. Faults overlap,
- * except two of the same process: what one starts the other would end. At most one controller loses
- * its storage in a run, since a lost majority is outside what the product promises.
+ * <p>Kinds are drawn without replacement, so that each kind occurs once before any occurs again.
+ * Faults overlap, except two of the same process: one would start a process that the other has just
+ * killed. At most one controller loses its storage in a run, since the product does not guarantee
+ * anything after the loss of a majority.
  */
 final class FaultPlan {
-  /** Mean time from one fault's begin to the next one's, which lets about three overlap. */
+  /** Mean time between the starts of two faults, at which about three faults overlap. */
   static final long SPACING_MILLIS = 1_200;
 
-  private static final long SHORTEST_MILLIS = 600;
-  private static final long LONGEST_MILLIS = 6_000;
+  private static final long MIN_DURATION_MILLIS = 600;
+  private static final long MAX_DURATION_MILLIS = 6_000;
 
-  /** Time for a process to start, before the next fault may hit it. */
+  /** Time that a process has to start before the next fault of that process may begin. */
   private static final long RESTART_MILLIS = 4_000;
 
   private static final long MAX_EXTRA_MICROS = 150_000;
   private static final long MAX_LAG_MILLIS = 3_000;
-  private static final long LOWEST_STALENESS_MILLIS = 1_500;
+  private static final long MIN_STALENESS_LIMIT_MILLIS = 1_500;
   private static final int STALENESS_RANGE_MILLIS = 2_000;
-  private static final int DRAWS = 20;
+  private static final int MAX_ATTEMPTS = 20;
 
-  /** What is drawn. */
+  /** Kind of fault; the order of the constants decides what a seed draws. */
   private enum Kind {
     SLOW,
     RESET,
@@ -57,7 +58,7 @@
   private final UniformRandomProvider random;
   private final Topology topology;
   private final long lengthMillis;
-  private final List<Kind> deck = new ArrayList<>();
+  private final List<Kind> undrawn = new ArrayList<>();
   private final Map<String, Long> freeAtMillis = new HashMap<>();
   private boolean controllerLostStorage;
 
@@ -68,33 +69,33 @@
   }
 
   /**
-   * Draws the faults of a run.
+   * Plans the faults of a run.
    *
    * @param seed the seed
    * @param lengthMillis time within which all faults begin and end
-   * @param topology what they may hit
-   * @return faults in the order of their begin
+   * @param topology processes, groups and routes that faults may affect
+   * @return faults in the order of their start
    */
   static List<PlannedFault> of(long seed, long lengthMillis, Topology topology) {
     FaultPlan plan = new FaultPlan(seed, lengthMillis, topology);
     List<PlannedFault> faults = new ArrayList<>();
-    long at = plan.upTo(SPACING_MILLIS);
-    while (at + SHORTEST_MILLIS <= lengthMillis) {
+    long at = plan.randomBelow(SPACING_MILLIS);
+    while (at + MIN_DURATION_MILLIS <= lengthMillis) {
       plan.draw(at).ifPresent(faults::add);
-      at += SPACING_MILLIS / 2 + plan.upTo(SPACING_MILLIS);
+      at += SPACING_MILLIS / 2 + plan.randomBelow(SPACING_MILLIS);
     }
     faults.sort(Comparator.comparingLong(PlannedFault::atMillis));
     return faults;
   }
 
   private Optional<PlannedFault> draw(long at) {
-    long longest = Math.min(LONGEST_MILLIS, lengthMillis - at);
-    long lasts = SHORTEST_MILLIS + upTo(longest - SHORTEST_MILLIS + 1);
+    long longest = Math.min(MAX_DURATION_MILLIS, lengthMillis - at);
+    long durationMillis = MIN_DURATION_MILLIS + randomBelow(longest - MIN_DURATION_MILLIS + 1);
     Kind kind = nextKind();
-    for (int i = 0; i < DRAWS; i++) {
-      PlannedFault candidate = new PlannedFault(at, lasts, faultOf(kind));
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+      PlannedFault candidate = new PlannedFault(at, durationMillis, faultOf(kind));
       if (isAllowed(candidate)) {
-        note(candidate);
+        reserve(candidate);
         return Optional.of(candidate);
       }
     }
@@ -102,10 +103,10 @@
   }
 
   private Kind nextKind() {
-    if (deck.isEmpty()) {
-      Collections.addAll(deck, Kind.values());
+    if (undrawn.isEmpty()) {
+      Collections.addAll(undrawn, Kind.values());
     }
-    return deck.remove(random.nextInt(deck.size()));
+    return undrawn.remove(random.nextInt(undrawn.size()));
   }
 
   private boolean isAllowed(PlannedFault candidate) {
@@ -118,7 +119,7 @@
     return isFree && !(losesController && controllerLostStorage);
   }
 
-  private void note(PlannedFault planned) {
+  private void reserve(PlannedFault planned) {
     if (planned.fault() instanceof Fault.ProcessFault fault) {
       freeAtMillis.put(fault.process(), planned.endMillis() + RESTART_MILLIS);
       controllerLostStorage |=
@@ -128,43 +129,48 @@
 
   private Fault faultOf(Kind kind) {
     return switch (kind) {
-      case SLOW -> new Fault.SlowRoutes(anyRoutes(), 1 + upTo(MAX_EXTRA_MICROS));
-      case RESET -> new Fault.ResetConnections(anyRoutes());
-      case CUT -> new Fault.CutRoutes(anyRoutes());
+      case SLOW -> new Fault.SlowRoutes(randomRoutes(), 1 + randomBelow(MAX_EXTRA_MICROS));
+      case RESET -> new Fault.ResetConnections(randomRoutes());
+      case CUT -> new Fault.CutRoutes(randomRoutes());
       case CUT_ONE_WAY ->
-          new Fault.CutOneWay(anyRoutes(), Relay.Direction.values()[random.nextInt(2)]);
+          new Fault.CutOneWay(randomRoutes(), Relay.Direction.values()[random.nextInt(2)]);
       case SILENCE ->
-          new Fault.SilenceConnections(new RouteSet(any(topology.routesBetweenProcesses()), false));
-      case PAUSE -> new Fault.PauseProcess(any(topology.processes()));
-      case KILL -> new Fault.KillProcess(any(topology.processes()));
-      case STOP -> new Fault.StopProcess(any(topology.productProcesses()));
-      case LOSE_STORAGE -> new Fault.LoseStorage(any(topology.productProcesses()));
-      case REFUSE_STORAGE -> new Fault.RefuseStorage(any(topology.processes()));
-      case CRASH_PRIMARY -> new Fault.CrashPrimary(any(topology.databases()));
-      case PAUSE_PRIMARY -> new Fault.PausePrimary(any(topology.databases()));
+          new Fault.SilenceConnections(
+              new RouteSet(randomOf(topology.routesBetweenProcesses()), false));
+      case PAUSE -> new Fault.PauseProcess(randomOf(topology.processes()));
+      case KILL -> new Fault.KillProcess(randomOf(topology.processes()));
+      case STOP -> new Fault.StopProcess(randomOf(topology.productProcesses()));
+      case LOSE_STORAGE -> new Fault.LoseStorage(randomOf(topology.productProcesses()));
+      case REFUSE_STORAGE -> new Fault.RefuseStorage(randomOf(topology.processes()));
+      case CRASH_PRIMARY -> new Fault.CrashPrimary(randomOf(topology.databases()));
+      case PAUSE_PRIMARY -> new Fault.PausePrimary(randomOf(topology.databases()));
       case LAG ->
           new Fault.LagMember(
-              any(topology.databases()), any(topology.members()), 1 + upTo(MAX_LAG_MILLIS));
+              randomOf(topology.databases()),
+              randomOf(topology.members()),
+              1 + randomBelow(MAX_LAG_MILLIS));
       case CHANGE_CONFIGURATION ->
           new Fault.ChangeConfiguration(
-              any(topology.databases()), LOWEST_STALENESS_MILLIS + upTo(STALENESS_RANGE_MILLIS));
+              randomOf(topology.databases()),
+              MIN_STALENESS_LIMIT_MILLIS + randomBelow(STALENESS_RANGE_MILLIS));
       case SWITCH_PRIMARY ->
-          new Fault.SwitchPrimary(any(topology.databases()), any(topology.members()));
-      case DRAIN -> new Fault.DrainMember(any(topology.databases()), any(topology.members()));
+          new Fault.SwitchPrimary(randomOf(topology.databases()), randomOf(topology.members()));
+      case DRAIN ->
+          new Fault.DrainMember(randomOf(topology.databases()), randomOf(topology.members()));
     };
   }
 
-  private RouteSet anyRoutes() {
+  private RouteSet randomRoutes() {
     return random.nextBoolean()
-        ? new RouteSet(any(topology.processes()), true)
-        : new RouteSet(any(topology.routes()), false);
+        ? new RouteSet(randomOf(topology.processes()), true)
+        : new RouteSet(randomOf(topology.routes()), false);
   }
 
-  private <T> T any(List<T> list) {
+  private <T> T randomOf(List<T> list) {
     return list.get(random.nextInt(list.size()));
   }
 
-  private long upTo(long bound) {
+  private long randomBelow(long bound) {
     return random.nextLong(Math.max(1, bound));
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/soak/OperatorActions.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/OperatorActions.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.streamcourse.lab.fleet.Fleet;
 
-/** Carries out operators' statements and the members' own means, and notes accepted versions. */
+/** Executes operators' statements and members' lag settings, and records accepted versions. */
 final class OperatorActions {
-  /** Database name with which the lab connects to members without counting against their limit. */
+  /** Database name at members for connections that do not count against the connection limit. */
   private static final String LAB_DATABASE = "lab";
 
   private static final String VERSION = "version";
   private static final int RESTORE_ATTEMPTS = 60;
-  private static final long RESTORE_PAUSE_MILLIS = 500;
+  private static final long RETRY_MILLIS = 500;
 
   private final Fleet fleet;
   private final AtomicLong acceptedVersion = new AtomicLong();
@@ -25,7 +25,7 @@
     this.fleet = fleet;
   }
 
-  /** Returns the newest configuration version that an operator was told is accepted. */
+  /** Returns the highest configuration version that a controller accepted from an operator. */
   long acceptedVersion() {
     return acceptedVersion.get();
   }
@@ -47,11 +47,11 @@
     return outcome + ", " + restore("RESTORE" + member);
   }
 
-  /** A drained member stays drained while nobody restores it, so this is tried for a while. */
+  /** Restores a member, with retries: a drained member stays drained until it is restored. */
   private String restore(String sql) throws InterruptedException {
     String outcome = execute(sql);
     for (int i = 0; i < RESTORE_ATTEMPTS && outcome.startsWith("refused"); i++) {
-      TimeUnit.MILLISECONDS.sleep(RESTORE_PAUSE_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
       outcome = execute(sql);
     }
     return outcome;
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Lets a member lag for a time. */
+  /** Delays a member's application of its log for the duration of a fault. */
   String lag(Fault.LagMember lag, long lastsMillis) throws Exception {
     Fleet.MemberHandle member = fleet.member(lag.database(), lag.member());
     setLag(member, lag.lagMillis());
@@ -81,8 +81,8 @@
         setLag(member, 0);
         return "lagged";
       } catch (SQLException e) {
-        // A member that does not run now starts without lag; one that is paused is asked again.
-        TimeUnit.MILLISECONDS.sleep(RESTORE_PAUSE_MILLIS);
+        // A member that does not run starts without lag; a paused one is retried.
+        TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
       }
     }
     return "lagged, and may still lag";
--- a/lab/src/main/java/org/streamcourse/lab/soak/PlannedFault.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/PlannedFault.java
@@ -1,11 +1,11 @@
 package org.streamcourse.lab.soak;
 
 /**
- * A fault and its time.
+ * A fault with its start and duration.
  *
- * @param atMillis begin, from the begin of the run
- * @param lastsMillis time until it is undone
- * @param fault what is done
+ * @param atMillis time from the start of the run to the start of the fault
+ * @param lastsMillis time until the fault is undone
+ * @param fault the fault
  */
 record PlannedFault(long atMillis, long lastsMillis, Fault fault) {
   long endMillis() {
--- a/lab/src/main/java/org/streamcourse/lab/soak/ProcessFaults.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/ProcessFaults.java
@@ -15,17 +15,17 @@
 import org.streamcourse.lab.fleet.FleetProcess;
 
 /**
- * Carries out faults of processes and their storage, by signals to their ids and on their files.
+ * Injects faults of processes by signals to their ids, and faults of storage on their data folders.
  */
 final class ProcessFaults {
-  /** Tells a controller that an empty data folder belongs to a new fleet. */
+  /** Flag with which a controller takes an empty data folder as that of a new fleet. */
   private static final String BOOTSTRAP = "--bootstrap";
 
   /**
-   * Longer than a planned stop's own limits: 30 s for callers' transactions, 35 s for members to
-   * end connections, 15 s for the controllers' word.
+   * Longer than the sum of a planned stop's timeouts: 30 s for callers' transactions, 35 s for
+   * members to close connections, 15 s for the controllers' confirmation.
    */
-  private static final long STOP_SECONDS = 90;
+  private static final long STOP_TIMEOUT_SECONDS = 90;
 
   private final Fleet fleet;
   private final Map<String, FleetProcess> processes = new TreeMap<>();
@@ -36,7 +36,7 @@
     fleet.processes().forEach(each -> processes.put(each.name(), each));
   }
 
-  /** Carries out a fault and undoes it after its time; returns what was done. */
+  /** Injects a fault and undoes it after its duration; returns a description of what was done. */
   String run(Fault.ProcessFault fault, long lastsMillis) throws Exception {
     if (!busy.add(fault.process())) {
       return "left out: the process is in another fault";
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Carries out a fault of a group's primary. */
+  /** Injects a fault of the member that is primary of the group now. */
   String run(Fault.PrimaryFault fault, long lastsMillis) throws Exception {
     String primary = fleet.primary(fault.database()).process().name();
     Fault.ProcessFault onProcess =
@@ -87,12 +87,14 @@
 
   private static String stop(FleetProcess process) throws IOException {
     process.terminate();
-    boolean ended = process.await(STOP_SECONDS);
+    boolean ended = process.await(STOP_TIMEOUT_SECONDS);
     if (!ended) {
       process.kill();
     }
     process.startWithout(BOOTSTRAP);
-    return ended ? "stopped and started" : "did not stop within " + STOP_SECONDS + " s, killed";
+    return ended
+        ? "stopped and started"
+        : "did not stop within " + STOP_TIMEOUT_SECONDS + " s, killed";
   }
 
   private String loseStorage(FleetProcess process, long lastsMillis) throws Exception {
@@ -103,7 +105,7 @@
     return "started on an empty folder";
   }
 
-  /** A plain file in the folder's place refuses every write, also to a privileged user. */
+  /** Replaces the data folder by a plain file, on which writes fail for a privileged user too. */
   private String refuseStorage(FleetProcess process, long lastsMillis) throws Exception {
     Path folder = fleet.dataFolder(process.name());
     Path aside = folder.resolveSibling(folder.getFileName() + ".aside");
@@ -112,12 +114,13 @@
     Files.createFile(folder);
     process.startWithout(BOOTSTRAP);
     TimeUnit.MILLISECONDS.sleep(lastsMillis);
-    boolean ran = process.isAlive();
+    boolean keptRunning = process.isAlive();
     process.kill();
     Files.delete(folder);
     Files.move(aside, folder);
     process.startWithout(BOOTSTRAP);
-    return (ran ? "ran" : "ended") + " on storage that refused writes; started on its own again";
+    return (keptRunning ? "ran" : "ended")
+        + " on storage that refused writes; started on its own again";
   }
 
   private static void deleteAll(Path folder) throws IOException {
@@ -125,8 +128,8 @@
       return;
     }
     try (Stream<Path> files = Files.walk(folder)) {
-      List<Path> leavesFirst = files.sorted(Comparator.reverseOrder()).toList();
-      for (Path each : leavesFirst) {
+      List<Path> childrenFirst = files.sorted(Comparator.reverseOrder()).toList();
+      for (Path each : childrenFirst) {
         Files.delete(each);
       }
     }
--- a/lab/src/main/java/org/streamcourse/lab/soak/Progress.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/Progress.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** The clock of a run, and lines about it on the terminal. */
+/** The clock of a run; prints progress lines with the time since the run's start. */
 final class Progress {
   private static final double MILLIS_PER_SECOND = 1_000.0;
 
@@ -15,7 +15,7 @@
     this.out = out;
   }
 
-  /** Lets the run begin now. */
+  /** Resets the clock: the run starts now. */
   synchronized void begin() {
     startedNanos = System.nanoTime();
   }
@@ -24,7 +24,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
   }
 
-  void tell(String what) {
-    out.println(String.format(Locale.ROOT, "%8.2f s  %s", nowMillis() / MILLIS_PER_SECOND, what));
+  void print(String event) {
+    out.println(String.format(Locale.ROOT, "%8.2f s  %s", nowMillis() / MILLIS_PER_SECOND, event));
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/soak/Recovery.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/Recovery.java
@@ -10,15 +10,15 @@
 import java.util.concurrent.TimeUnit;
 import org.streamcourse.lab.fleet.Fleet;
 
-/** Measures how long each proxy takes to serve writes of each group once all faults are over. */
+/** Measures how long each proxy takes to serve writes to each group after the last fault. */
 final class Recovery {
-  /** Beyond the bound, so that a late recovery is told from none. */
-  private static final double GIVE_UP_SECONDS = 2 * SoakCheck.RECOVERY_SECONDS;
+  /** Twice the limit of the check, so that a late recovery can be distinguished from none. */
+  private static final double TIMEOUT_SECONDS = 2 * SoakCheck.RECOVERY_SECONDS;
 
-  private static final long PAUSE_MILLIS = 100;
+  private static final long RETRY_MILLIS = 100;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** Changes nothing, but needs a primary whose commit a majority receives. */
+  /** Changes no data, but commits only if a majority of the members receives it. */
   private static final String PROBE = "UPDATE ticker SET number = number WHERE id = 1";
 
   private final Fleet fleet;
@@ -30,7 +30,7 @@
     this.sinceNanos = sinceNanos;
   }
 
-  /** Measures all; returns seconds by proxy and group, infinite for one that never served. */
+  /** Returns seconds until a write was served, by proxy and group; infinite after the timeout. */
   Map<String, Double> measure() throws InterruptedException {
     List<Thread> threads = new ArrayList<>();
     for (Fleet.ProxyHandle proxy : fleet.proxies()) {
@@ -50,7 +50,7 @@
   private void measure(Fleet.ProxyHandle proxy, String database) {
     double elapsed = elapsedSeconds();
     boolean serves = false;
-    while (!serves && elapsed < GIVE_UP_SECONDS) {
+    while (!serves && elapsed < TIMEOUT_SECONDS) {
       serves = serves(proxy, database);
       elapsed = elapsedSeconds();
     }
@@ -67,7 +67,7 @@
       statement.executeUpdate(PROBE);
       return true;
     } catch (SQLException e) {
-      // Not yet; what keeps it from serving stands in the logs of the fleet.
+      // The probe is repeated; the processes' logs contain the cause.
       pause();
       return false;
     }
@@ -75,7 +75,7 @@
 
   private static void pause() {
     try {
-      TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/lab/src/main/java/org/streamcourse/lab/soak/RouteFaults.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/RouteFaults.java
@@ -6,7 +6,7 @@
 import org.streamcourse.lab.fleet.Fleet;
 import org.streamcourse.lab.relay.Relay;
 
-/** Carries out faults of connections, at the relays. */
+/** Injects faults of connections at the relays. */
 final class RouteFaults {
   private final Fleet fleet;
 
@@ -14,7 +14,7 @@
     this.fleet = fleet;
   }
 
-  /** Carries out a fault and undoes it after its time; returns what was done. */
+  /** Injects a fault and undoes it after its duration; returns the number of routes. */
   String run(Fault.RouteFault fault, long lastsMillis) throws InterruptedException {
     List<Relay> relays =
         fleet.relays().entrySet().stream()
--- a/lab/src/main/java/org/streamcourse/lab/soak/RouteSet.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/RouteSet.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * One route between two processes, or all routes that begin or end at one process.
+ * One route, or all routes that begin or end at one process.
  *
- * @param name the route, or the process
- * @param ofProcess whether the name is a process'
+ * @param name name of the route or process
+ * @param ofProcess whether the name is that of a process
  */
 record RouteSet(String name, boolean ofProcess) {
   private static final String ARROW = "->";
 
-  /** Tells whether a route, named as in {@code Fleet.setCut}, belongs to this set. */
+  /** Returns whether a route, named as in {@code Fleet.setCut}, belongs to this set. */
   boolean contains(String route) {
     return ofProcess ? endsOf(route).contains(name) : name.equals(route);
   }
 
-  /** Returns the names of the processes at the ends of a route; callers are no process. */
+  /** Returns the names of the processes at the ends of a route; callers are not included. */
   static List<String> endsOf(String route) {
     int arrow = route.indexOf(ARROW);
     String to = route.substring(arrow + ARROW.length());
--- a/lab/src/main/java/org/streamcourse/lab/soak/SoakCheck.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/SoakCheck.java
@@ -9,7 +9,7 @@
 import org.streamcourse.lab.workload.Journal.Acknowledged;
 import org.streamcourse.lab.workload.WriteComparison;
 
-/** The promises that a run checks; each one finds its violations in the history of a run. */
+/** The guarantees that a run checks; each check finds its violations in a run's history. */
 enum SoakCheck {
   /** A session sees its own committed bookings, also through another proxy. */
   READ_YOUR_WRITES(
@@ -20,52 +20,54 @@
               .map(read -> read.booking() + " was not seen by its own session")
               .toList()),
 
-  /** No read is older than its caller accepts. */
+  /** No read returns data older than its caller's staleness limit. */
   STALENESS(
       "staleness",
       history ->
           history.agedReads().stream()
               .filter(read -> read.ageMillis() > read.limitMillis())
-              .map(read -> read.database() + " answered " + read.ageMillis() + " ms old")
+              .map(read -> read.database() + " returned data " + read.ageMillis() + " ms old")
               .toList()),
 
-  /** Nothing acknowledged is lost. */
+  /** No acknowledged write is lost. */
   ACKNOWLEDGED_IS_KEPT("acknowledged-is-kept", history -> compare(history).lost()),
 
-  /** Nothing runs twice. */
+  /** No write runs twice. */
   AT_MOST_ONCE("at-most-once", history -> compare(history).duplicates()),
 
-  /** A request of which callers were told that it has not run has not. */
+  /** No write that was refused as not run has run. */
   NOT_RUN_IS_TRUE("not-run-is-true", history -> compare(history).falseNotRun()),
 
-  /** Once a term has acknowledged, no earlier term acknowledges what is sent afterwards. */
+  /** A write sent after an acknowledgment in one term is not acknowledged in an earlier term. */
   REPLACED_PRIMARY("replaced-primary-acknowledges-nothing", SoakCheck::acknowledgedByReplaced),
 
-  /** Members get no more connections and statements than their limits. */
+  /** No member receives more connections or statements than its limits. */
   MEMBER_LIMITS(
       "member-limits",
       history ->
-          history.excesses().stream().map(each -> each.member() + ": " + each.what()).toList()),
+          history.limitViolations().stream()
+              .map(each -> each.member() + ": " + each.logLine())
+              .toList()),
 
-  /** An accepted configuration does not revert. */
+  /** An accepted configuration change is not lost. */
   CONFIGURATION_IS_KEPT("configuration-is-kept", SoakCheck::revertedConfiguration),
 
-  /** Everything serves again in time once the last fault is over. */
+  /** Every proxy serves every group within the time limit after the last fault. */
   RECOVERY("recovery", SoakCheck::lateRecoveries),
 
-  /** Failed requests are explained by the logs alone. */
+  /** The logs alone explain why a request failed and how it ended. */
   EXPLAINED(
       "explained",
       history ->
           history.explained().stream()
-              .filter(each -> !each.isWhole())
+              .filter(each -> !each.isComplete())
               .map(each -> each.request() + " has " + each.steps() + " steps and no end")
               .toList());
 
   /**
-   * Longest time from the last fault's end until every proxy serves every group. It holds the start
-   * of a process on a busy machine, two changes of primary of 6 s each, and 16 s until a
-   * configuration is in force everywhere, each with room.
+   * Maximum time from the last fault's end until every proxy serves every group. It covers, with a
+   * margin each, the start of a process on a busy machine, two changes of primary of 6 s each, and
+   * 16 s until a configuration is in force on all nodes.
    */
   static final double RECOVERY_SECONDS = 60;
 
@@ -77,12 +79,12 @@
     this.finder = finder;
   }
 
-  /** Returns the name in summaries and pages. */
+  /** Returns the check's name in summaries and documentation. */
   String label() {
     return label;
   }
 
-  /** Finds what breaks this promise. */
+  /** Returns a description of each violation in a history. */
   List<String> violations(SoakHistory history) {
     return finder.apply(history);
   }
@@ -103,7 +105,7 @@
     return found;
   }
 
-  /** Goes through writes as they were sent, with the highest term acknowledged until then. */
+  /** Compares each write, in the order of sending, with the highest term acknowledged before. */
   private static void addAcknowledgedByReplaced(List<Acknowledged> writes, List<String> found) {
     List<Acknowledged> answered =
         writes.stream().sorted(Comparator.comparingLong(Acknowledged::atNanos)).toList();
@@ -113,12 +115,12 @@
     int next = 0;
     for (Acknowledged write : sent) {
       while (answered.get(next).atNanos() < write.sentAtNanos()) {
-        highestTerm = Math.max(highestTerm, answered.get(next).place().term());
+        highestTerm = Math.max(highestTerm, answered.get(next).position().term());
         next++;
       }
-      if (write.place().term() < highestTerm) {
+      if (write.position().term() < highestTerm) {
         found.add(
-            write.database() + " acknowledged " + write.place() + " after term " + highestTerm);
+            write.database() + " acknowledged " + write.position() + " after term " + highestTerm);
       }
     }
   }
--- a/lab/src/main/java/org/streamcourse/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/SoakCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Runs a fleet of real processes under faults that a seed chooses. */
+/** Runs a fleet of real processes under faults that are derived from a seed. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
@@ -19,8 +19,8 @@
         "Runs a fleet of real processes under faults from outside, chosen by a seed, and checks"
             + " what callers and members see; exit 1 on a violation.")
 public final class SoakCommand implements Callable<Integer> {
-  /** Keeps a run below 100 processes. */
-  private static final int MOST_PROCESSES = 100;
+  /** Exclusive limit of the number of processes in a run. */
+  private static final int PROCESS_LIMIT = 100;
 
   private static final int MEMBERS_PER_GROUP = 3;
 
@@ -73,25 +73,25 @@
 
   private void validate() {
     requireBetween("--seconds", seconds, 1, Integer.MAX_VALUE / 1_000);
-    requireBetween("--edges", edges, 1, MOST_PROCESSES);
-    requireBetween("--controllers", controllers, 1, MOST_PROCESSES);
-    requireBetween("--groups", groups, 1, MOST_PROCESSES);
+    requireBetween("--edges", edges, 1, PROCESS_LIMIT);
+    requireBetween("--controllers", controllers, 1, PROCESS_LIMIT);
+    requireBetween("--groups", groups, 1, PROCESS_LIMIT);
     int processes = edges + controllers + MEMBERS_PER_GROUP * groups;
     requireBetween(
-        "--edges, --controllers and --groups make processes:", processes, 1, MOST_PROCESSES - 1);
+        "--edges, --controllers and --groups make processes:", processes, 1, PROCESS_LIMIT - 1);
   }
 
-  private void requireBetween(String option, int value, int lowest, int highest) {
-    if (value < lowest || value > highest) {
+  private void requireBetween(String option, int value, int min, int max) {
+    if (value < min || value > max) {
       throw new ParameterException(
-          spec.commandLine(), option + " " + value + " is not in " + lowest + ".." + highest);
+          spec.commandLine(), option + " " + value + " is not in " + min + ".." + max);
     }
   }
 
   private static SoakResult run(SoakSettings settings) throws Exception {
     SoakRun run = new SoakRun(settings, new Progress(System.out));
-    Thread atEnd = new Thread(run::close, "soak-close");
-    Runtime.getRuntime().addShutdownHook(atEnd);
+    Thread shutdownHook = new Thread(run::close, "soak-close");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try (run) {
       return run.run();
     }
--- a/lab/src/main/java/org/streamcourse/lab/soak/SoakHistory.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/SoakHistory.java
@@ -8,17 +8,18 @@
 import org.streamcourse.lab.workload.WriteOutcome;
 
 /**
- * What callers, members and operators saw of a run; all that the checks rest on.
+ * What callers, members and operators observed in a run: the input of all checks.
  *
- * @param writes what callers were told, by booking
- * @param found how often each booking was there in the end
- * @param ownReads reads of bookings that the reading session had been told are committed
- * @param agedReads reads whose age is known
- * @param acknowledged acknowledged writes with their places
- * @param excesses what members had to refuse since more than their limits came
- * @param configuration what operators were told of the configuration
- * @param recoverySeconds time from the last fault's end until a route served, by route
- * @param explained what the logs told of failed requests
+ * @param writes outcome that the caller received, by booking
+ * @param found number of rows of each booking at the end of the run
+ * @param ownReads reads of bookings whose commit the reading session had acknowledged
+ * @param agedReads reads whose staleness is known
+ * @param acknowledged acknowledged writes with their log positions
+ * @param limitViolations log lines of members about exceeded limits
+ * @param configuration accepted and final version of the configuration
+ * @param recoverySeconds time from the last fault's end until a write was served, by proxy and
+ *     group
+ * @param explained failed requests that were looked up in the logs
  */
 record SoakHistory(
     Map<String, WriteOutcome> writes,
@@ -26,36 +27,36 @@
     List<OwnRead> ownReads,
     List<AgedRead> agedReads,
     List<Acknowledged> acknowledged,
-    List<MemberExcess> excesses,
+    List<LimitViolation> limitViolations,
     Configuration configuration,
     Map<String, Double> recoverySeconds,
     List<Explained> explained) {
 
   /**
-   * A line in which a member tells that more than its limit came.
+   * A log line in which a member reports that a limit was exceeded.
    *
-   * @param member the member's process
-   * @param what the line
+   * @param member name of the member's process
+   * @param logLine the line
    */
-  record MemberExcess(String member, String what) {}
+  record LimitViolation(String member, String logLine) {}
 
   /**
    * Versions of the configuration.
    *
-   * @param accepted newest one that an operator was told is accepted
-   * @param atEnd the one in force after the run
+   * @param accepted highest version that a controller accepted from an operator
+   * @param atEnd version in force after the run
    */
   record Configuration(long accepted, long atEnd) {}
 
   /**
    * A failed request that was looked up in the logs.
    *
-   * @param request its id
-   * @param steps decisions found
-   * @param isFinal whether the last of them tells how it ended
+   * @param request the request's id
+   * @param steps number of decisions about the request found in the logs
+   * @param isFinal whether the last of them names the request's outcome
    */
   record Explained(String request, int steps, boolean isFinal) {
-    boolean isWhole() {
+    boolean isComplete() {
       return steps > 0 && isFinal;
     }
   }
--- a/lab/src/main/java/org/streamcourse/lab/soak/SoakResult.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/SoakResult.java
@@ -7,17 +7,17 @@
 import org.streamcourse.lab.workload.Journal;
 
 /**
- * A finished run.
+ * The result of a finished run.
  *
- * @param settings its size and length
- * @param history what was seen
- * @param events what became of the faults
- * @param journal what callers noted
+ * @param settings size and length of the run
+ * @param history observations that the checks use
+ * @param events executed faults
+ * @param journal responses that callers received
  */
 record SoakResult(
     SoakSettings settings, SoakHistory history, List<FaultEvent> events, Journal journal) {
 
-  /** Returns the violations of each check, also of those without any. */
+  /** Returns the violations by check; the list of a check that passed is empty. */
   Map<SoakCheck, List<String>> violations() {
     Map<SoakCheck, List<String>> found = new TreeMap<>();
     for (SoakCheck check : SoakCheck.values()) {
--- a/lab/src/main/java/org/streamcourse/lab/soak/SoakRun.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/SoakRun.java
@@ -12,16 +12,16 @@
 import org.streamcourse.lab.workload.Verification;
 
 /**
- * One run: a fleet of real processes, callers of which one half roams and one half keeps its
- * connections until these are closed, the faults of the plan, a time to recover, and the history
- * for the checks.
+ * One run: starts a fleet of real processes and callers, injects the planned faults, measures
+ * recovery, and collects the history for the checks. Half of the callers change proxies regularly;
+ * the others keep each connection until it is closed.
  */
 final class SoakRun implements AutoCloseable {
   private static final int ROAMING_PER_DATABASE = 4;
-  private static final int STAYING_PER_DATABASE = 4;
+  private static final int PERSISTENT_PER_DATABASE = 4;
   private static final double READ_SHARE = 0.7;
   private static final long PAUSE_MILLIS = 15;
-  private static final int ROAM_EVERY = 25;
+  private static final int ROAM_EVERY_REQUESTS = 25;
   private static final long MAX_STALENESS_MILLIS = 1_500;
   private static final long ADMIN_ATTEMPTS = 100;
   private static final long ADMIN_PAUSE_MILLIS = 200;
@@ -41,7 +41,7 @@
             settings.controllers(),
             settings.edges());
     fleet = new Fleet(profile(settings.groups()), settings.folder(), options);
-    // Failed requests are told at this level.
+    // Proxies log failed requests at INFO.
     fleet.processes().forEach(each -> each.setLogLevel("INFO"));
   }
 
@@ -62,9 +62,9 @@
         READ_SHARE);
   }
 
-  /** Runs it all; the fleet stays up until {@link #close}. */
+  /** Executes the run; the fleet's processes run until {@link #close}. */
   SoakResult run() throws Exception {
-    progress.tell("starts " + fleet.processes().size() + " processes in " + settings.folder());
+    progress.print("starts " + fleet.processes().size() + " processes in " + settings.folder());
     fleet.start();
     Callers callers =
         Callers.prepare(
@@ -72,23 +72,23 @@
             ROAMING_PER_DATABASE,
             READ_SHARE,
             PAUSE_MILLIS,
-            ROAM_EVERY,
+            ROAM_EVERY_REQUESTS,
             MAX_STALENESS_MILLIS,
             settings.seed());
-    callers.addStaying(
-        STAYING_PER_DATABASE, READ_SHARE, PAUSE_MILLIS, MAX_STALENESS_MILLIS, settings.seed());
+    callers.addPersistent(
+        PERSISTENT_PER_DATABASE, READ_SHARE, PAUSE_MILLIS, MAX_STALENESS_MILLIS, settings.seed());
     callers.start();
     progress.begin();
-    progress.tell("the fleet serves; faults begin");
+    progress.print("the fleet serves; faults begin");
     long lengthMillis = TimeUnit.SECONDS.toMillis(settings.seconds());
     List<PlannedFault> plan = FaultPlan.of(settings.seed(), lengthMillis, Topology.of(fleet));
     FaultInjector injector = new FaultInjector(fleet, plan, progress);
     injector.run();
-    progress.tell("the last fault is over");
+    progress.print("the last fault is over");
     Map<String, Double> recovery = new Recovery(fleet, System.nanoTime()).measure();
-    progress.tell("recovered: " + recovery);
+    progress.print("recovered: " + recovery);
     callers.stop();
-    progress.tell("callers have stopped");
+    progress.print("callers have stopped");
     return result(callers.journal(), injector, recovery);
   }
 
@@ -101,10 +101,11 @@
             journal.ownReads(),
             journal.agedReads(),
             journal.acknowledged(),
-            MemberLimits.excesses(fleet, settings.folder()),
+            MemberLimits.violations(fleet, settings.folder()),
             new SoakHistory.Configuration(injector.acceptedVersion(), configurationVersion()),
             recovery,
-            new ExplainScore(settings.folder(), settings.seed()).draw(journal.failedRequests()));
+            new ExplanationSampler(settings.folder(), settings.seed())
+                .sample(journal.failedRequests()));
     return new SoakResult(settings, history, injector.events(), journal);
   }
 
@@ -121,7 +122,7 @@
     throw last;
   }
 
-  /** Ends all processes, by their ids, for good. */
+  /** Kills the fleet's processes by their ids. */
   @Override
   public void close() {
     fleet.close();
--- a/lab/src/main/java/org/streamcourse/lab/soak/SoakSummary.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/SoakSummary.java
@@ -9,7 +9,7 @@
 import org.streamcourse.lab.workload.Journal;
 import org.streamcourse.lab.workload.WriteOutcome;
 
-/** A run's result as JSON. */
+/** Formats a run's result as JSON. */
 final class SoakSummary {
   private static final double MICROS_PER_MILLI = 1_000.0;
   private static final double HIGH_PERCENTILE = 99;
@@ -87,7 +87,7 @@
 
   private static void addExplained(ObjectNode node, List<SoakHistory.Explained> explained) {
     node.put("drawn", explained.size());
-    node.put("whole", explained.stream().filter(SoakHistory.Explained::isWhole).count());
+    node.put("whole", explained.stream().filter(SoakHistory.Explained::isComplete).count());
     ArrayNode requests = node.putArray("requests");
     explained.forEach(each -> requests.add(each.toString()));
   }
--- a/lab/src/main/java/org/streamcourse/lab/soak/SoakTimeline.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/SoakTimeline.java
@@ -14,14 +14,14 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 import org.streamcourse.lab.workload.Journal.Acknowledged;
 
-/** Draws a run: each fault as a line over its time, and acknowledged writes of each group. */
+/** Draws a run: each fault as a line from start to end, and acknowledged writes per group. */
 final class SoakTimeline {
   private static final int WIDTH = 1_400;
   private static final int HEIGHT = 900;
   private static final double MILLIS_PER_SECOND = 1_000.0;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** Length of the steps in which acknowledged writes are counted. */
+  /** Width of the intervals in which acknowledged writes are counted. */
   private static final double BIN_SECONDS = 0.25;
 
   private SoakTimeline() {}
--- a/lab/src/main/java/org/streamcourse/lab/soak/Topology.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/Topology.java
@@ -5,13 +5,13 @@
 import org.streamcourse.lab.fleet.Fleet;
 
 /**
- * What faults may hit in a fleet.
+ * The processes, groups and routes of a fleet that faults may affect.
  *
  * @param controllers names of the controllers
  * @param proxies names of the proxies
  * @param databases names of the groups
- * @param members names of the members, the same in each group
- * @param routes routes of the relays in a fixed order
+ * @param members names of the members, identical in each group
+ * @param routes routes of the relays, sorted by name
  */
 record Topology(
     List<String> controllers,
@@ -29,14 +29,14 @@
         List.copyOf(fleet.relays().keySet()));
   }
 
-  /** Returns the processes of the product. */
+  /** Returns the controllers and proxies. */
   List<String> productProcesses() {
     List<String> names = new ArrayList<>(controllers);
     names.addAll(proxies);
     return names;
   }
 
-  /** Returns all processes, the members' as {@code database-member}. */
+  /** Returns all processes; those of members are named {@code database-member}. */
   List<String> processes() {
     List<String> names = productProcesses();
     for (String database : databases) {
@@ -45,7 +45,7 @@
     return names;
   }
 
-  /** Returns the routes between processes, without those of callers. */
+  /** Returns the routes between processes, without those from callers. */
   List<String> routesBetweenProcesses() {
     return routes.stream().filter(each -> RouteSet.endsOf(each).size() == 2).toList();
   }
--- a/lab/src/main/java/org/streamcourse/lab/soak/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A fleet of real processes under faults from outside, chosen by a seed, with checks of what
- * callers and members saw.
+ * Soak test: a fleet of real processes under faults that are derived from a seed and injected from
+ * outside, with checks of what callers, members and operators observe.
  */
 package org.streamcourse.lab.soak;
--- a/lab/src/main/java/org/streamcourse/lab/workload/Caller.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/Caller.java
@@ -20,20 +20,20 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * One caller: books and reads on one database through one proxy after another, carries its floor
- * along, and notes what it was told. It sends a booking again only under a new id, and only after a
- * refusal that says that the first was not run.
+ * One caller: inserts and reads bookings in one database through one proxy after another, sends its
+ * floor at each login, and records the responses in the journal. A booking whose insert failed is
+ * not sent again; the next insert has a new id.
  */
 final class Caller implements Runnable {
   /**
-   * How a caller behaves.
+   * Behavior of a caller.
    *
    * @param readShare share of reads
    * @param pauseMillis pause between requests
-   * @param roamEvery requests after which it connects to the next proxy
-   * @param maxStalenessMillis oldest answer that it accepts
-   * @param keepsConnection whether it goes on after an error on a connection that is still open,
-   *     and connects to the next proxy only once the connection is closed
+   * @param roamEvery requests after which the caller connects to the next proxy, 0 for never
+   * @param maxStalenessMillis staleness limit of the caller's reads
+   * @param keepsConnection whether the caller continues on a connection that is still open after an
+   *     error, and connects to the next proxy only once the connection is closed
    */
   record Behavior(
       double readShare,
@@ -42,11 +42,11 @@
       long maxStalenessMillis,
       boolean keepsConnection) {}
 
-  private static final int SLOTS = 50;
+  private static final int BOOKING_SLOTS = 50;
   private static final long RECONNECT_MILLIS = 50;
   private static final String FLOOR = "streamcourse.floor";
 
-  /** The product ends the detail of each error of a request with the request's id. */
+  /** Proxies end the detail of each request's error with the request's id. */
   private static final Pattern REQUEST = Pattern.compile(", request (\\S+)");
 
   private final int number;
@@ -108,7 +108,7 @@
         pause(behavior.pauseMillis());
       } catch (SQLException e) {
         journal.error(String.valueOf(e.getSQLState()), e.getMessage());
-        noteRequest(e);
+        recordFailedRequest(e);
         if (!behavior.keepsConnection() || isClosed()) {
           disconnect();
         }
@@ -118,7 +118,7 @@
     disconnect();
   }
 
-  private void noteRequest(SQLException e) {
+  private void recordFailedRequest(SQLException e) {
     Matcher id = REQUEST.matcher(String.valueOf(e.getMessage()));
     if (id.find()) {
       journal.requestFailed(id.group(1), e.getSQLState(), e.getMessage());
@@ -142,7 +142,7 @@
     try (Statement statement = connection.createStatement()) {
       statement.execute("SET streamcourse.max_staleness_ms = " + behavior.maxStalenessMillis());
     } catch (SQLException e) {
-      // Without the setting it would be told older answers than it accepts.
+      // Without the setting, reads could be staler than this caller's limit.
       disconnect();
       throw e;
     }
@@ -154,12 +154,12 @@
         connection.close();
       }
     } catch (SQLException e) {
-      // The connection is given up either way.
+      // The connection is discarded in any case.
     }
     connection = null;
   }
 
-  /** The driver closes a connection when it meets its end or gets no answer in time. */
+  /** The driver closes a connection at end of stream and when a reply times out. */
   private boolean isClosed() {
     try {
       return connection == null || connection.isClosed();
@@ -189,7 +189,7 @@
     try (PreparedStatement insert =
         connection.prepareStatement("INSERT INTO bookings (id, slot, caller) VALUES (?, ?, ?)")) {
       insert.setString(1, id);
-      insert.setInt(2, random.nextInt(SLOTS));
+      insert.setInt(2, random.nextInt(BOOKING_SLOTS));
       insert.setInt(3, number);
       insert.executeUpdate();
       long end = System.nanoTime();
@@ -202,7 +202,7 @@
     }
   }
 
-  /** What an error says about the request: only texts of the product say "not run". */
+  /** Derives the outcome of a write from its error; only the proxies' messages say "not run". */
   static WriteOutcome outcomeOf(SQLException e) {
     String state = String.valueOf(e.getSQLState());
     String text = String.valueOf(e.getMessage());
@@ -261,7 +261,7 @@
     long staleness = TimeUnit.NANOSECONDS.toMillis(ticker.stalenessNanos(seen, start));
     journal.agedRead(database, staleness, behavior.maxStalenessMillis());
     if (staleness > behavior.maxStalenessMillis()) {
-      journal.staleRead(database + " answered " + staleness + " ms old");
+      journal.staleRead(database + " returned data " + staleness + " ms old");
     }
     journal.read(database, start, System.nanoTime(), floor());
   }
--- a/lab/src/main/java/org/streamcourse/lab/workload/Callers.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/Callers.java
@@ -12,34 +12,34 @@
 import org.streamcourse.lab.workload.Caller.Behavior;
 import org.streamcourse.process.settings.HostPort;
 
-/** The callers of a run, spread over databases and proxies, and a ticker for each database. */
+/** The callers of a run, spread over databases and proxies, and one ticker for each database. */
 public final class Callers {
   private static final long TICK_MILLIS = 50;
   private static final long JOIN_MILLIS = 40_000;
 
-  /** A ticker and where its updates go. */
-  private record Ticking(Ticker ticker, List<HostPort> addresses) {}
+  /** A ticker with the addresses that receive its updates. */
+  private record TickerTarget(Ticker ticker, List<HostPort> addresses) {}
 
   private final Journal journal = new Journal();
-  private final Map<String, Ticking> tickers = new TreeMap<>();
+  private final Map<String, TickerTarget> tickers = new TreeMap<>();
   private final List<Caller> callers = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private volatile boolean stopped;
 
   private Callers() {
-    // Built by the methods below.
+    // Instances are created by the prepare methods.
   }
 
   /**
    * Creates the tables and prepares callers.
    *
-   * @param fleet fleet that serves them
+   * @param fleet fleet that serves the callers
    * @param perDatabase callers of each database
    * @param readShare share of reads
    * @param pauseMillis pause of a caller between requests
-   * @param roamEvery requests after which a caller goes to the next proxy, 0 for never
-   * @param maxStalenessMillis oldest answer that callers accept
-   * @param seed seed of their choices
+   * @param roamEvery requests after which a caller connects to the next proxy, 0 for never
+   * @param maxStalenessMillis staleness limit of the callers' reads
+   * @param seed seed of the callers' choices
    * @return callers, not yet started
    * @throws SQLException when the tables can't be created
    */
@@ -65,16 +65,16 @@
   }
 
   /**
-   * Prepares callers that talk to the primaries themselves, without a pause, on tables that {@link
-   * #prepare} has created.
+   * Prepares callers that connect directly to the primaries and do not pause between requests. The
+   * tables must exist, see {@link #prepare}.
    *
-   * @param fleet fleet whose members they call
+   * @param fleet fleet whose primaries the callers use
    * @param perDatabase callers of each database
    * @param readShare share of reads
-   * @param maxStalenessMillis oldest answer that callers accept
-   * @param seed seed of their choices
+   * @param maxStalenessMillis staleness limit of the callers' reads
+   * @param seed seed of the callers' choices
    * @return callers, not yet started
-   * @throws SQLException when the controllers don't tell the primaries
+   * @throws SQLException when no controller reports the primaries
    */
   public static Callers prepareDirect(
       Fleet fleet, int perDatabase, double readShare, long maxStalenessMillis, long seed)
@@ -88,52 +88,52 @@
   }
 
   /**
-   * Adds one caller for each database that books without a pause, so that a time without
-   * acknowledgments is seen to within the duration of one write.
+   * Adds one caller for each database that only writes and does not pause, so that a time without
+   * acknowledgments is measured to within the duration of one write.
    *
-   * @param maxStalenessMillis oldest answer that they accept
-   * @param seed seed of their choices
+   * @param maxStalenessMillis staleness limit of the callers' reads
+   * @param seed seed of the callers' choices
    */
   public void addWriters(long maxStalenessMillis, long seed) {
     addToEach(1, new Behavior(0, 0, 0, maxStalenessMillis, false), seed);
   }
 
   /**
-   * Adds callers that keep an open connection until it is closed, also while its proxy is told to
-   * stop or refuses, and only then go to the next proxy.
+   * Adds callers that keep a connection until it is closed, also while its proxy drains or refuses
+   * requests, and only then connect to the next proxy.
    *
    * @param perDatabase callers of each database
    * @param readShare share of reads
    * @param pauseMillis pause of a caller between requests
-   * @param maxStalenessMillis oldest answer that they accept
-   * @param seed seed of their choices
+   * @param maxStalenessMillis staleness limit of the callers' reads
+   * @param seed seed of the callers' choices
    */
-  public void addStaying(
+  public void addPersistent(
       int perDatabase, double readShare, long pauseMillis, long maxStalenessMillis, long seed) {
     addToEach(perDatabase, new Behavior(readShare, pauseMillis, 0, maxStalenessMillis, true), seed);
   }
 
   private void addToEach(int perDatabase, Behavior behavior, long seed) {
-    tickers.forEach((database, ticking) -> add(database, ticking, perDatabase, behavior, seed));
+    tickers.forEach((database, target) -> add(database, target, perDatabase, behavior, seed));
   }
 
   private void add(
       String database, List<HostPort> addresses, int count, Behavior behavior, long seed) {
-    Ticking ticking = new Ticking(new Ticker(), addresses);
-    tickers.put(database, ticking);
-    add(database, ticking, count, behavior, seed);
+    TickerTarget target = new TickerTarget(new Ticker(), addresses);
+    tickers.put(database, target);
+    add(database, target, count, behavior, seed);
   }
 
-  private void add(String database, Ticking ticking, int count, Behavior behavior, long seed) {
+  private void add(String database, TickerTarget target, int count, Behavior behavior, long seed) {
     for (int i = 0; i < count; i++) {
       callers.add(
           new Caller(
               callers.size(),
               database,
-              ticking.addresses(),
+              target.addresses(),
               behavior,
               journal,
-              ticking.ticker(),
+              target.ticker(),
               seed));
     }
   }
@@ -151,7 +151,7 @@
     thread.start();
   }
 
-  /** Stops all callers and waits for their last answers. */
+  /** Stops all callers and waits for the replies to their last requests. */
   public void stop() {
     stopped = true;
     callers.forEach(Caller::stop);
@@ -166,7 +166,7 @@
   }
 
   /**
-   * Returns what the callers noted.
+   * Returns the journal in which the callers record responses.
    *
    * @return journal
    */
@@ -175,16 +175,17 @@
   }
 
   /**
-   * Counts up in a database; a number of unknown outcome is written again, which changes nothing.
+   * Increments the counter in a database. A number whose write has an unknown outcome is written
+   * again, which is idempotent.
    */
-  private void tick(String database, Ticking ticking) {
-    List<HostPort> addresses = ticking.addresses();
+  private void tick(String database, TickerTarget target) {
+    List<HostPort> addresses = target.addresses();
     int proxy = 0;
     while (!stopped) {
       try (Connection connection =
           Fleet.connect(addresses.get(proxy % addresses.size()), database, "")) {
         while (!stopped) {
-          tickOnce(connection, ticking.ticker());
+          tickOnce(connection, target.ticker());
           TimeUnit.MILLISECONDS.sleep(TICK_MILLIS);
         }
       } catch (SQLException e) {
--- a/lab/src/main/java/org/streamcourse/lab/workload/DemoCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/DemoCommand.java
@@ -9,11 +9,12 @@
 import org.streamcourse.lab.fleet.Profile;
 import picocli.CommandLine.Command;
 
-/** Shows in a minute what the fleet does when a primary is killed under load. */
+/** Demonstrates within a minute what the fleet does when a primary is killed under load. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
-    description = "Starts a fleet, runs callers, kills a primary, and checks what they were told.")
+    description =
+        "Starts a fleet, runs callers, kills a primary, and checks the responses.")
 public final class DemoCommand implements Callable<Integer> {
   private static final int CALLERS_PER_DATABASE = 8;
   private static final long PAUSE_MILLIS = 10;
@@ -27,13 +28,13 @@
   @Override
   public Integer call() throws Exception {
     Path folder = Files.createTempDirectory("streamcourse-demo");
-    say(
+    print(
         "Starting 3 controllers, 6 proxies and 3 databases with 3 members each (logs in %s).",
         folder);
     long started = System.nanoTime();
     try (Fleet fleet = new Fleet(Profile.STATIONS, folder, Fleet.Options.DEFAULT)) {
       fleet.start();
-      say("The fleet is ready after %.1f s.", secondsSince(started));
+      print("The fleet is ready after %.1f s.", secondsSince(started));
       return run(fleet);
     }
   }
@@ -49,21 +50,21 @@
             MAX_STALENESS_MILLIS,
             SEED);
     callers.start();
-    say(
+    print(
         "%d callers book and read; each connects to the next proxy after %d requests.",
         CALLERS_PER_DATABASE * fleet.profile().databases().size(), ROAM_EVERY);
     TimeUnit.SECONDS.sleep(SECONDS_BEFORE);
 
     String database = fleet.profile().databases().get(0);
     Fleet.MemberHandle primary = fleet.primary(database);
-    say(
+    print(
         "Primary of '%s' is %s in %s. Killing it now.",
         database, primary.member(), primary.placement().region());
     long killedAt = System.nanoTime();
     primary.process().kill();
     TimeUnit.SECONDS.sleep(SECONDS_AFTER);
     Fleet.MemberHandle next = fleet.primary(database);
-    say(
+    print(
         "Primary of '%s' is now %s in %s. The old one starts again.",
         database, next.member(), next.placement().region());
     primary.process().start();
@@ -75,13 +76,13 @@
   private static int report(Fleet fleet, Journal journal, String database, long killedAt)
       throws Exception {
     double gap = FailoverGap.seconds(journal.acknowledged(), database, killedAt);
-    say("Gap: the first booking in '%s' was acknowledged %.2f s after the kill.", database, gap);
+    print("Gap: the first booking in '%s' was acknowledged %.2f s after the kill.", database, gap);
     long replica = ProxyCounters.sum(fleet, ProxyCounters.REPLICA_READS);
     long primaryReads = ProxyCounters.sum(fleet, ProxyCounters.PRIMARY_READS);
-    say(
+    print(
         "Reads: %d by replicas, %d by primaries (%.1f %% by replicas).",
         replica, primaryReads, 100.0 * replica / Math.max(1, replica + primaryReads));
-    say(
+    print(
         "Bookings: %d acknowledged, %d refused as not run, %d of unknown outcome, %d failed.",
         journal.count(WriteOutcome.ACKNOWLEDGED),
         journal.count(WriteOutcome.NOT_RUN),
@@ -89,7 +90,7 @@
         journal.count(WriteOutcome.FAILED));
     journal.errors().entrySet().stream()
         .sorted(Comparator.comparing(each -> each.getKey()))
-        .forEach(each -> say("  callers saw %d x %s", each.getValue().get(), each.getKey()));
+        .forEach(each -> print("  callers saw %d x %s", each.getValue().get(), each.getKey()));
     Verification result = Verification.of(fleet, journal);
     boolean held = true;
     held &= check("every acknowledged booking is there", result.lostWrites() == 0);
@@ -101,13 +102,13 @@
             journal.staleReads() == 0);
     held &= check("bookings went on within " + MAX_GAP_SECONDS + " s", gap < MAX_GAP_SECONDS);
     held &= check("replicas served reads", replica > 0);
-    journal.violations().stream().limit(5).forEach(each -> say("  %s", each));
-    say(held ? "All checks held." : "A check failed.");
+    journal.violations().stream().limit(5).forEach(each -> print("  %s", each));
+    print(held ? "All checks held." : "A check failed.");
     return held ? 0 : 1;
   }
 
   private static boolean check(String what, boolean holds) {
-    say("[%s] %s", holds ? "ok" : "FAILED", what);
+    print("[%s] %s", holds ? "ok" : "FAILED", what);
     return holds;
   }
 
@@ -115,7 +116,7 @@
     return (System.nanoTime() - nanos) / 1e9;
   }
 
-  private static void say(String format, Object... values) {
+  private static void print(String format, Object... values) {
     System.out.printf(java.util.Locale.ROOT, format + "%n", values);
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/workload/FailoverGap.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/FailoverGap.java
@@ -5,7 +5,7 @@
 
 /**
  * Measures the failover gap: the time from the loss of a primary until a write that was sent after
- * the loss is acknowledged. Writes that were on their way when the primary was lost do not count.
+ * the loss is acknowledged. Writes that were outstanding when the primary was lost do not count.
  */
 public final class FailoverGap {
   private FailoverGap() {}
@@ -15,7 +15,7 @@
    *
    * @param acknowledged acknowledged writes of all databases
    * @param database database whose primary was lost
-   * @param lostAtNanos when it was lost
+   * @param lostAtNanos time at which the primary was lost
    * @return seconds; infinite when no write was acknowledged afterwards
    */
   public static double seconds(List<Acknowledged> acknowledged, String database, long lostAtNanos) {
--- a/lab/src/main/java/org/streamcourse/lab/workload/Journal.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/Journal.java
@@ -11,56 +11,57 @@
 import org.HdrHistogram.Histogram;
 import org.streamcourse.version.image.TermPosition;
 
-/** Everything that the callers of one run noted; safe from any thread. */
+/** Records the responses that the callers of one run receive; thread-safe. */
 public final class Journal {
   /**
    * An acknowledged write.
    *
    * @param database database
-   * @param sentAtNanos when it was sent
-   * @param atNanos when its answer arrived
-   * @param place newest commit that its session knew of with the answer
+   * @param sentAtNanos time at which the write was sent
+   * @param atNanos time at which the acknowledgment arrived
+   * @param position the session's floor after the acknowledgment
    */
-  public record Acknowledged(String database, long sentAtNanos, long atNanos, TermPosition place) {}
+  public record Acknowledged(
+      String database, long sentAtNanos, long atNanos, TermPosition position) {}
 
   /**
    * An answered read.
    *
    * @param database database
-   * @param startNanos when it was sent
-   * @param floor place that it had to see
+   * @param startNanos time at which the read was sent
+   * @param floor lowest log position that the read had to observe
    */
   public record Read(String database, long startNanos, TermPosition floor) {}
 
   /**
-   * A read of a booking that the reading session had been told is committed.
+   * A read of a booking whose commit was acknowledged to the reading session.
    *
    * @param booking the booking's id
-   * @param found how often it was there
+   * @param found number of rows found
    */
   public record OwnRead(String booking, int found) {}
 
   /**
-   * A read whose age is known.
+   * A read whose staleness is known.
    *
    * @param database database
-   * @param ageMillis time since the first acknowledged change that it missed
-   * @param limitMillis oldest answer that the caller accepted
+   * @param ageMillis time since the first acknowledged change that the read missed
+   * @param limitMillis staleness limit of the caller
    */
   public record AgedRead(String database, long ageMillis, long limitMillis) {}
 
   /**
-   * A request that the product answered with an error.
+   * A request that a proxy answered with an error.
    *
-   * @param request id that the answer told
+   * @param request request id in the error
    * @param sqlState SQLSTATE
-   * @param message text
-   * @param atNanos when the answer arrived
+   * @param message error message
+   * @param atNanos time at which the error arrived
    */
   public record FailedRequest(String request, String sqlState, String message, long atNanos) {}
 
   private static final long MAX_MICROS = 60_000_000;
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private final Map<String, WriteOutcome> writes = new ConcurrentHashMap<>();
   private final Collection<Acknowledged> acknowledged = new ConcurrentLinkedQueue<>();
@@ -68,18 +69,18 @@
   private final Collection<AgedRead> agedReads = new ConcurrentLinkedQueue<>();
   private final Collection<FailedRequest> failedRequests = new ConcurrentLinkedQueue<>();
   private final Collection<Read> reads = new ConcurrentLinkedQueue<>();
-  private final Histogram readMicros = new ConcurrentHistogram(MAX_MICROS, DIGITS);
-  private final Histogram writeMicros = new ConcurrentHistogram(MAX_MICROS, DIGITS);
-  private final Histogram refusalMicros = new ConcurrentHistogram(MAX_MICROS, DIGITS);
+  private final Histogram readMicros = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+  private final Histogram writeMicros = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+  private final Histogram refusalMicros = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
   private final AtomicLong staleReads = new AtomicLong();
   private final AtomicLong readErrors = new AtomicLong();
   private final Map<String, AtomicLong> errors = new ConcurrentHashMap<>();
   private final List<String> violations = new ArrayList<>();
 
   void acknowledged(
-      String id, String database, long startNanos, long endNanos, TermPosition place) {
+      String id, String database, long startNanos, long endNanos, TermPosition position) {
     writes.put(id, WriteOutcome.ACKNOWLEDGED);
-    acknowledged.add(new Acknowledged(database, startNanos, endNanos, place));
+    acknowledged.add(new Acknowledged(database, startNanos, endNanos, position));
     writeMicros.recordValue(Math.min(MAX_MICROS, (endNanos - startNanos) / 1_000));
   }
 
@@ -112,9 +113,9 @@
     readErrors.incrementAndGet();
   }
 
-  void staleRead(String what) {
+  void staleRead(String description) {
     staleReads.incrementAndGet();
-    violation(what);
+    violation(description);
   }
 
   void error(String sqlState, String message) {
@@ -122,12 +123,12 @@
     errors.computeIfAbsent(key, any -> new AtomicLong()).incrementAndGet();
   }
 
-  synchronized void violation(String what) {
-    violations.add(what);
+  synchronized void violation(String description) {
+    violations.add(description);
   }
 
   /**
-   * Returns what broke a rule.
+   * Returns the violations of a guarantee.
    *
    * @return descriptions
    */
@@ -175,23 +176,23 @@
   /**
    * Returns the reads of bookings that the reading session had made.
    *
-   * @return reads with what they found
+   * @return reads with the number of rows found
    */
   public List<OwnRead> ownReads() {
     return List.copyOf(ownReads);
   }
 
   /**
-   * Returns the reads whose age is known.
+   * Returns the reads whose staleness is known.
    *
-   * @return reads with age and limit
+   * @return reads with staleness and limit
    */
   public List<AgedRead> agedReads() {
     return List.copyOf(agedReads);
   }
 
   /**
-   * Returns the requests that the product answered with an error.
+   * Returns the requests that a proxy answered with an error.
    *
    * @return failed requests
    */
@@ -202,7 +203,7 @@
   /**
    * Returns the number of stale reads.
    *
-   * @return reads that missed an own write or were older than accepted
+   * @return reads that missed a write of their own session or exceeded the staleness limit
    */
   public long staleReads() {
     return staleReads.get();
@@ -218,7 +219,7 @@
   }
 
   /**
-   * Returns the errors that callers saw.
+   * Returns the errors that callers received.
    *
    * @return count by SQLSTATE and text
    */
@@ -245,7 +246,7 @@
   }
 
   /**
-   * Returns the time until refusals.
+   * Returns the latencies of refused writes.
    *
    * @return microseconds
    */
@@ -253,8 +254,8 @@
     return refusalMicros;
   }
 
-  /** Starts the latencies anew, as when the time before was a warm-up. */
-  public void forgetLatencies() {
+  /** Resets the latencies of reads and acknowledged writes, as after a warm-up. */
+  public void resetLatencies() {
     readMicros.reset();
     writeMicros.reset();
   }
--- a/lab/src/main/java/org/streamcourse/lab/workload/MetricsReader.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/MetricsReader.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import org.streamcourse.process.settings.HostPort;
 
-/** Reads the metrics that a process serves as Prometheus text. */
+/** Reads the metrics that a process serves in the Prometheus text format. */
 public final class MetricsReader {
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
 
@@ -19,9 +19,9 @@
    * Reads all metrics once.
    *
    * @param address metrics address of the process
-   * @return values by name with labels
-   * @throws IOException when the process does not answer
-   * @throws InterruptedException when interrupted
+   * @return values by metric name including labels
+   * @throws IOException when the process does not reply
+   * @throws InterruptedException when the calling thread is interrupted
    */
   public static Map<String, Double> read(HostPort address)
       throws IOException, InterruptedException {
--- a/lab/src/main/java/org/streamcourse/lab/workload/Ticker.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/Ticker.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * Times at which the numbers of a counter in a database were acknowledged. A read that saw a number
- * is stale when the next number had been acknowledged longer ago than the limit.
+ * Records when each number of a counter in a database was acknowledged. A read that returned a
+ * number is stale if the next number was acknowledged longer before the read than the staleness
+ * limit.
  */
 final class Ticker {
   private final List<Long> acknowledgedAtNanos = new ArrayList<>();
 
-  /** Number to write next; numbers start with 1. */
+  /** Returns the number to write next; numbers start at 1. */
   synchronized int next() {
     return acknowledgedAtNanos.size() + 1;
   }
@@ -19,7 +20,7 @@
     acknowledgedAtNanos.add(atNanos);
   }
 
-  /** Age of what a read saw: time since the first number that it missed, 0 when it missed none. */
+  /** Returns the time since the acknowledgment of the first number that a read missed, else 0. */
   synchronized long stalenessNanos(int seen, long readStartNanos) {
     if (seen >= acknowledgedAtNanos.size()) {
       return 0;
--- a/lab/src/main/java/org/streamcourse/lab/workload/Verification.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/Verification.java
@@ -10,21 +10,21 @@
 import org.streamcourse.lab.fleet.Fleet;
 
 /**
- * Compares what callers were told with what the databases hold.
+ * Counts the bookings for which the outcome reported to callers differs from the databases.
  *
  * @param lostWrites acknowledged bookings that are missing
- * @param duplicateWrites bookings that are there more than once
- * @param falseNotRun bookings that are there although their callers were told that they did not run
+ * @param duplicateWrites bookings that are stored more than once
+ * @param falseNotRun bookings that are stored although they were refused as not run
  */
 public record Verification(long lostWrites, long duplicateWrites, long falseNotRun) {
-  private static final int ATTEMPTS = 100;
+  private static final int MAX_ATTEMPTS = 100;
   private static final long RETRY_MILLIS = 100;
 
   /**
-   * Reads all databases through the fleet and compares.
+   * Reads all databases through the fleet and compares them with a journal.
    *
    * @param fleet the fleet
-   * @param journal what callers were told
+   * @param journal responses that callers received
    * @return result
    * @throws Exception when a database can't be read
    */
@@ -38,7 +38,7 @@
    * Reads all bookings of all databases through the fleet.
    *
    * @param fleet the fleet
-   * @return how often each booking is there, by id
+   * @return number of rows of each booking, by id
    * @throws Exception when a database can't be read
    */
   public static Map<String, Integer> found(Fleet fleet) throws Exception {
@@ -52,7 +52,7 @@
   private static void readAll(Fleet fleet, String database, Map<String, Integer> found)
       throws Exception {
     SQLException last = null;
-    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       int proxy = attempt % fleet.proxies().size();
       try (Connection connection =
               Fleet.connect(fleet.proxies().get(proxy).callers(), database, "");
--- a/lab/src/main/java/org/streamcourse/lab/workload/WriteComparison.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/WriteComparison.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * Bookings at which what callers were told differs from what the databases hold.
+ * The bookings for which the outcome reported to callers differs from the databases.
  *
  * @param lost acknowledged bookings that are missing
- * @param duplicates bookings that are there more than once
- * @param falseNotRun bookings that are there although their callers were told that they did not run
+ * @param duplicates bookings that are stored more than once
+ * @param falseNotRun bookings that are stored although they were refused as not run
  */
 public record WriteComparison(
     List<String> lost, List<String> duplicates, List<String> falseNotRun) {
 
   /**
-   * Compares.
+   * Compares the reported outcomes with the stored bookings.
    *
-   * @param writes what callers were told, by id
-   * @param found how often each booking is there, by id
+   * @param writes outcome that the caller received, by id
+   * @param found number of rows of each booking, by id
    * @return differences
    */
   public static WriteComparison of(Map<String, WriteOutcome> writes, Map<String, Integer> found) {
--- a/lab/src/main/java/org/streamcourse/lab/workload/WriteOutcome.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/WriteOutcome.java
@@ -1,13 +1,13 @@
 package org.streamcourse.lab.workload;
 
-/** What a caller was told about a write. */
+/** Outcome of a write as reported to its caller. */
 public enum WriteOutcome {
-  /** It is committed. */
+  /** The write is committed. */
   ACKNOWLEDGED,
-  /** It did not run. */
+  /** The write was refused before it ran. */
   NOT_RUN,
-  /** It may or may not have run. */
+  /** The write may or may not have run. */
   UNKNOWN,
-  /** The database refused it for a reason of its own. */
+  /** The database rejected the write with an error. */
   FAILED
 }
--- a/lab/src/main/java/org/streamcourse/lab/workload/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/package-info.java
@@ -1,2 +1,2 @@
-/** Callers with the users' traffic, what they note, and the checks of it afterwards. */
+/** Callers that generate the users' traffic, their journal, and checks of the journal. */
 package org.streamcourse.lab.workload;
--- a/lab/src/test/java/org/streamcourse/lab/soak/BrokenHistory.java
+++ b/lab/src/test/java/org/streamcourse/lab/soak/BrokenHistory.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 import org.streamcourse.lab.soak.SoakHistory.Configuration;
 import org.streamcourse.lab.soak.SoakHistory.Explained;
-import org.streamcourse.lab.soak.SoakHistory.MemberExcess;
+import org.streamcourse.lab.soak.SoakHistory.LimitViolation;
 import org.streamcourse.lab.workload.Journal.Acknowledged;
 import org.streamcourse.lab.workload.Journal.AgedRead;
 import org.streamcourse.lab.workload.Journal.OwnRead;
 import org.streamcourse.lab.workload.WriteOutcome;
 import org.streamcourse.version.image.TermPosition;
 
-/** Twins of a history in which one promise is broken, once, and all else is as it was. */
+/** Copies a history and adds one violation of one check. */
 final class BrokenHistory {
   private static final String BOOKING = "group1-1-1";
 
   private BrokenHistory() {}
 
-  /** Returns the twin that a check must catch. */
-  static SoakHistory twin(SoakHistory history, SoakCheck broken) {
-    return switch (broken) {
+  /** Returns a copy that violates exactly one check. */
+  static SoakHistory withViolation(SoakHistory history, SoakCheck violated) {
+    return switch (violated) {
       case READ_YOUR_WRITES -> with(history, new OwnRead(BOOKING, 0));
       case STALENESS -> with(history, new AgedRead("group1", 1_501, 1_500));
       case ACKNOWLEDGED_IS_KEPT -> lost(history);
@@ -92,33 +92,35 @@
         ownReads,
         agedReads,
         of.acknowledged(),
-        of.excesses(),
+        of.limitViolations(),
         of.configuration(),
         of.recoverySeconds(),
         of.explained());
   }
 
-  /** A write that was sent after the last answer is acknowledged in an earlier term. */
+  /**
+   * Adds a write that was sent after the last acknowledgment and acknowledged in an earlier term.
+   */
   private static SoakHistory acknowledgedByReplaced(SoakHistory of) {
     Acknowledged last = of.acknowledged().get(of.acknowledged().size() - 1);
     long end = of.acknowledged().stream().mapToLong(Acknowledged::atNanos).max().orElseThrow();
-    TermPosition earlier = new TermPosition(0, last.place().position() + 1);
+    TermPosition earlier = new TermPosition(0, last.position().position() + 1);
     Acknowledged late = new Acknowledged(last.database(), end + 1, end + 2, earlier);
     return copy(
         of,
         and(of.acknowledged(), late),
-        of.excesses(),
+        of.limitViolations(),
         of.configuration(),
         of.recoverySeconds(),
         of.explained());
   }
 
   private static SoakHistory overLimit(SoakHistory of) {
-    MemberExcess excess = new MemberExcess("group1-m1", "connection limit 40 exceeded");
+    LimitViolation violation = new LimitViolation("group1-m1", "connection limit 40 exceeded");
     return copy(
         of,
         of.acknowledged(),
-        and(of.excesses(), excess),
+        and(of.limitViolations(), violation),
         of.configuration(),
         of.recoverySeconds(),
         of.explained());
@@ -129,7 +131,7 @@
     return copy(
         of,
         of.acknowledged(),
-        of.excesses(),
+        of.limitViolations(),
         new Configuration(accepted, accepted - 1),
         of.recoverySeconds(),
         of.explained());
@@ -139,7 +141,7 @@
     return copy(
         of,
         of.acknowledged(),
-        of.excesses(),
+        of.limitViolations(),
         of.configuration(),
         and(of.recoverySeconds(), "p1/group1", Double.POSITIVE_INFINITY),
         of.explained());
@@ -149,7 +151,7 @@
     return copy(
         of,
         of.acknowledged(),
-        of.excesses(),
+        of.limitViolations(),
         of.configuration(),
         of.recoverySeconds(),
         and(of.explained(), new Explained("p1-1-1-1", 2, false)));
@@ -158,7 +160,7 @@
   private static SoakHistory copy(
       SoakHistory of,
       List<Acknowledged> acknowledged,
-      List<MemberExcess> excesses,
+      List<LimitViolation> limitViolations,
       Configuration configuration,
       Map<String, Double> recoverySeconds,
       List<Explained> explained) {
@@ -168,7 +170,7 @@
         of.ownReads(),
         of.agedReads(),
         acknowledged,
-        excesses,
+        limitViolations,
         configuration,
         recoverySeconds,
         explained);
--- a/lab/src/test/java/org/streamcourse/lab/soak/SoakCheckTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/soak/SoakCheckTest.java
@@ -18,13 +18,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Each check catches the history in which its promise is broken, and passes it unbroken. */
+/** Each check reports a history that violates its guarantee, and passes one that does not. */
 public class SoakCheckTest {
   private static final String ONE = "group1";
   private static final String TWO = "group2";
 
-  /** Two groups of which one changes its primary while a write of the old one is on its way. */
-  private static SoakHistory kept() {
+  /** Two groups; one changes its primary while a write to the old primary is outstanding. */
+  private static SoakHistory validHistory() {
     return new SoakHistory(
         Map.of(
             "group1-1-1", WriteOutcome.ACKNOWLEDGED,
@@ -53,16 +53,16 @@
   }
 
   @Test(dataProvider = "checks")
-  public void passesAHistoryThatKeepsThePromise(SoakCheck check) {
-    assertEquals(check.violations(kept()), List.of());
+  public void passesAValidHistory(SoakCheck check) {
+    assertEquals(check.violations(validHistory()), List.of());
   }
 
   @Test(dataProvider = "checks")
-  public void catchesTheTwinThatBreaksThePromise(SoakCheck check) {
-    SoakHistory twin = BrokenHistory.twin(kept(), check);
-    assertFalse(check.violations(twin).isEmpty(), check.label());
+  public void reportsOnlyTheViolationOfItsOwnGuarantee(SoakCheck check) {
+    SoakHistory violating = BrokenHistory.withViolation(validHistory(), check);
+    assertFalse(check.violations(violating).isEmpty(), check.label());
     for (SoakCheck other : SoakCheck.values()) {
-      assertTrue(other == check || other.violations(twin).isEmpty(), other.label());
+      assertTrue(other == check || other.violations(violating).isEmpty(), other.label());
     }
   }
 
--- a/lab/src/test/java/org/streamcourse/lab/soak/SoakPlanTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/soak/SoakPlanTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** The plan of faults is a function of the seed and keeps its own rules. */
+/** The plan of faults depends on the seed alone and respects its limits. */
 public class SoakPlanTest {
   private static final long LENGTH_MILLIS = 30_000;
   private static final int SEEDS = 200;
@@ -52,12 +52,12 @@
   }
 
   @Test
-  public void faultsOverlapButNotThoseOfOneProcess() {
-    plans().forEach(SoakPlanTest::assertApart);
+  public void faultsOverlapExceptThoseOfOneProcess() {
+    plans().forEach(SoakPlanTest::assertNoOverlapWithinAProcess);
     assertTrue(plans().allMatch(SoakPlanTest::hasOverlap), "a plan has no overlap");
   }
 
-  private static void assertApart(List<PlannedFault> plan) {
+  private static void assertNoOverlapWithinAProcess(List<PlannedFault> plan) {
     Map<String, Long> ends = new HashMap<>();
     for (PlannedFault each : plan) {
       if (each.fault() instanceof Fault.ProcessFault fault) {
@@ -93,7 +93,7 @@
   }
 
   @Test
-  public void membersKeepTheirStorage() {
+  public void membersNeverLoseTheirStorage() {
     plans()
         .flatMap(List::stream)
         .map(PlannedFault::fault)
@@ -119,7 +119,7 @@
   }
 
   @Test
-  public void routesBelongToTheProcessesAtTheirEnds() {
+  public void routeSetsMatchTheProcessesAtTheEndsOfARoute() {
     assertEquals(RouteSet.endsOf("callers->p1"), List.of("p1"));
     assertEquals(RouteSet.endsOf("link:p1->c2"), List.of("p1", "c2"));
     assertEquals(RouteSet.endsOf("sql:p1->group1/m1"), List.of("p1", "group1-m1"));
--- a/lab/src/test/java/org/streamcourse/lab/soak/SoakRunTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/soak/SoakRunTest.java
@@ -17,14 +17,14 @@
 import org.streamcourse.lab.workload.WriteOutcome;
 import org.testng.annotations.Test;
 
-/** A short run with real processes, and the end of one that is interrupted. */
+/** A short run with real processes passes all checks; an interrupted run ends its processes. */
 public class SoakRunTest {
   private static final int SECONDS = 15;
-  private static final Duration PATIENCE = Duration.ofSeconds(120);
+  private static final Duration TIMEOUT = Duration.ofSeconds(120);
   private static final int PROCESSES = 13;
 
   @Test
-  public void aSeededRunKeepsEveryPromise() throws Exception {
+  public void aSeededRunPassesEveryCheck() throws Exception {
     Path folder = Files.createTempDirectory("streamcourse-soak-test");
     SoakSettings settings = new SoakSettings(1, SECONDS, 4, 3, 2, folder);
     SoakResult result;
@@ -34,8 +34,9 @@
     }
     for (SoakCheck check : SoakCheck.values()) {
       assertEquals(check.violations(result.history()), List.of(), check.label());
-      SoakHistory twin = BrokenHistory.twin(result.history(), check);
-      assertFalse(check.violations(twin).isEmpty(), check.label() + " of the twin");
+      SoakHistory violating = BrokenHistory.withViolation(result.history(), check);
+      assertFalse(
+          check.violations(violating).isEmpty(), check.label() + " reports the added violation");
     }
     assertTrue(result.journal().count(WriteOutcome.ACKNOWLEDGED) > 0);
     assertFalse(result.history().ownReads().isEmpty());
@@ -56,7 +57,7 @@
   }
 
   @Test
-  public void anInterruptLeavesNoProcessBehind() throws Exception {
+  public void anInterruptedRunLeavesNoProcessBehind() throws Exception {
     Process lab =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -74,9 +75,9 @@
       fleet = lab.descendants().toList();
       assertTrue(fleet.size() > PROCESSES / 2, "processes: " + fleet.size());
       lab.destroy();
-      assertTrue(lab.waitFor(PATIENCE.toSeconds(), TimeUnit.SECONDS), "the lab ends");
+      assertTrue(lab.waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the lab ends");
       List<ProcessHandle> started = fleet;
-      await().atMost(PATIENCE).until(() -> started.stream().noneMatch(ProcessHandle::isAlive));
+      await().atMost(TIMEOUT).until(() -> started.stream().noneMatch(ProcessHandle::isAlive));
     } finally {
       fleet.forEach(ProcessHandle::destroyForcibly);
       lab.descendants().forEach(ProcessHandle::destroyForcibly);
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Reads the progress until a fault has begun, when the whole fleet runs. */
+  /** Reads progress lines until the first fault begins, when all processes run. */
   private static void awaitFaults(Process lab) throws Exception {
     BufferedReader progress = lab.inputReader();
     String line = progress.readLine();
--- a/lab/src/test/java/org/streamcourse/lab/workload/CallerTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/workload/CallerTest.java
@@ -8,23 +8,23 @@
 import org.streamcourse.lab.workload.Caller.Behavior;
 import org.testng.annotations.Test;
 
-/** When callers leave a connection. */
+/** When callers close a connection that refuses requests. */
 public class CallerTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
   private static final int REFUSALS = 3;
   private static final int CONNECTIONS = 3;
 
   @Test
-  public void aStayingCallerUsesAnOpenConnectionUntilItIsClosed() throws Exception {
-    assertEquals(refusalsOfTheFirstConnections(true), List.of(REFUSALS, REFUSALS));
+  public void aPersistentCallerKeepsAConnectionUntilItIsClosed() throws Exception {
+    assertEquals(refusalsOnTheFirstConnections(true), List.of(REFUSALS, REFUSALS));
   }
 
   @Test
-  public void anotherCallerLeavesAtTheFirstRefusal() throws Exception {
-    assertEquals(refusalsOfTheFirstConnections(false), List.of(1, 1));
+  public void aRoamingCallerReconnectsAfterTheFirstRefusal() throws Exception {
+    assertEquals(refusalsOnTheFirstConnections(false), List.of(1, 1));
   }
 
-  private static List<Integer> refusalsOfTheFirstConnections(boolean keepsConnection)
+  private static List<Integer> refusalsOnTheFirstConnections(boolean keepsConnection)
       throws Exception {
     try (RefusingServer server = new RefusingServer(REFUSALS)) {
       Behavior behavior = new Behavior(1, 0, 0, 1_500, keepsConnection);
@@ -34,7 +34,7 @@
       Thread thread = new Thread(caller, "caller");
       thread.setDaemon(true);
       thread.start();
-      await().atMost(PATIENCE).until(() -> server.refusals().size() >= CONNECTIONS);
+      await().atMost(TIMEOUT).until(() -> server.refusals().size() >= CONNECTIONS);
       caller.stop();
       return server.refusals().subList(0, CONNECTIONS - 1);
     }
--- a/lab/src/test/java/org/streamcourse/lab/workload/RefusingServer.java
+++ b/lab/src/test/java/org/streamcourse/lab/workload/RefusingServer.java
@@ -14,19 +14,19 @@
 import org.streamcourse.process.settings.HostPort;
 
 /**
- * Speaks PostgreSQL's protocol, accepts settings, refuses all else, and closes a connection after
- * some refusals, as a proxy that is told to stop.
+ * A server with PostgreSQL's protocol that accepts settings, refuses all other statements, and
+ * closes a connection after a number of refusals, as a draining proxy does.
  */
 final class RefusingServer implements AutoCloseable {
   private static final String LOOPBACK = "127.0.0.1";
   private static final int SSL_REQUEST = 80_877_103;
 
   private final ServerSocket server;
-  private final int refusalsBeforeTheEnd;
+  private final int refusalsBeforeClose;
   private final List<AtomicInteger> refusals = new CopyOnWriteArrayList<>();
 
-  RefusingServer(int refusalsBeforeTheEnd) throws IOException {
-    this.refusalsBeforeTheEnd = refusalsBeforeTheEnd;
+  RefusingServer(int refusalsBeforeClose) throws IOException {
+    this.refusalsBeforeClose = refusalsBeforeClose;
     server = new ServerSocket(0, 16, InetAddress.getByName(LOOPBACK));
     startThread(this::accept);
   }
@@ -35,7 +35,7 @@
     return new HostPort(LOOPBACK, server.getLocalPort());
   }
 
-  /** Returns how many requests were refused on each connection, in the order of the connections. */
+  /** Returns the number of refused requests by connection, in the order of connecting. */
   List<Integer> refusals() {
     return refusals.stream().map(AtomicInteger::get).toList();
   }
@@ -69,11 +69,11 @@
       logIn(in, out);
       AtomicInteger refused = new AtomicInteger();
       refusals.add(refused);
-      while (refused.get() < refusalsBeforeTheEnd) {
+      while (refused.get() < refusalsBeforeClose) {
         answer(in, out, refused);
       }
     } catch (IOException e) {
-      // The caller has left.
+      // The caller has closed the connection.
     }
   }
 
@@ -97,7 +97,7 @@
     return code;
   }
 
-  /** Answers the messages up to a sync. */
+  /** Reads the messages up to a Sync and answers them. */
   private static void answer(DataInputStream in, DataOutputStream out, AtomicInteger refused)
       throws IOException {
     boolean isSetting = false;
