--- a/lab/src/main/java/org/streamcourse/lab/soak/FaultPlan.java
+++ b/lab/src/main/java/org/streamcourse/lab/soak/FaultPlan.java
@@ -15,8 +15,8 @@
  * The faults of a run, determined by the seed, the run's length and the topology alone.
  *
  * <p>Kinds are drawn without replacement, so that each kind occurs once before any occurs again.
- * Faults overlap, except two of the same process: one would start a process that the other has just
- * killed. At most one controller loses its storage in a run, since the product does not guarantee
+ * Faults overlap, except two of the same process: one would kill a process that the other has just
+ * started. At most one controller loses its storage in a run, since the product does not guarantee
  * anything after the loss of a majority.
  */
 final class FaultPlan {
--- a/lab/src/main/java/org/streamcourse/lab/workload/DemoCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/workload/DemoCommand.java
@@ -13,8 +13,7 @@
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
-    description =
-        "Starts a fleet, runs callers, kills a primary, and checks the responses.")
+    description = "Starts a fleet, runs callers, kills a primary, and checks the responses.")
 public final class DemoCommand implements Callable<Integer> {
   private static final int CALLERS_PER_DATABASE = 8;
   private static final long PAUSE_MILLIS = 10;
--- a/lab/src/test/java/org/streamcourse/lab/process/BadInputTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/BadInputTest.java
@@ -22,9 +22,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Bad input is answered or cut off, and the process stays up. */
+/** Invalid input gets an error or a closed connection, and the process keeps running. */
 public class BadInputTest {
-  private static final int PATIENCE_MILLIS = 60_000;
+  private static final int TIMEOUT_MILLIS = 60_000;
   private static final int PROTOCOL_VERSION = 196_608;
 
   private Fleet fleet;
@@ -37,7 +37,7 @@
   }
 
   @AfterMethod
-  public void processStaysUp() throws SQLException {
+  public void processKeepsRunning() throws SQLException {
     assertTrue(proxy.process().isAlive());
     try (Connection connection = Fleet.connect(proxy.callers(), SharedFleet.database(), "");
         Statement statement = connection.createStatement()) {
@@ -46,17 +46,17 @@
     assertEquals(fleet.admin("SHOW CONTROLLERS").size(), 3);
   }
 
-  /** Sends bytes and reads until the other side closes; returns what it answered. */
+  /** Sends bytes and reads until the peer closes the connection; returns the bytes received. */
   private static String exchange(HostPort address, byte[] bytes) throws IOException {
     try (Socket socket = new Socket(address.host(), address.port())) {
-      socket.setSoTimeout(PATIENCE_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       OutputStream out = socket.getOutputStream();
       try {
         out.write(bytes);
         out.flush();
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
       } catch (SocketException e) {
-        // Closed with our bytes unread, which is a cut off as well.
+        // The peer reset the connection with bytes unread, which counts as closed.
         return "";
       }
     }
@@ -86,13 +86,13 @@
   }
 
   @Test(dataProvider = "ports")
-  public void garbageIsCutOff(HostPort port) throws IOException {
+  public void garbageClosesTheConnection(HostPort port) throws IOException {
     exchange(port, garbage());
     exchange(port, "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
   }
 
   @Test(dataProvider = "ports")
-  public void overLongFrameIsCutOff(HostPort port) throws IOException {
+  public void oversizedFrameClosesTheConnection(HostPort port) throws IOException {
     exchange(port, ByteBuffer.allocate(8).putInt(Integer.MAX_VALUE).putInt(1).array());
     byte[] startup = startup(Fleet.USER, SharedFleet.database());
     byte[] frame =
@@ -138,7 +138,7 @@
   }
 
   @Test
-  public void badCommandsNameTheirPlace() {
+  public void errorsOfInvalidCommandsNameTheCause() {
     SQLException syntax =
         expectThrows(SQLException.class, () -> fleet.admin("DRAIN MEMBER m1 OF GROUP g"));
     assertEquals(syntax.getSQLState(), "42601");
@@ -149,8 +149,8 @@
   }
 
   @Test
-  public void garbageBetweenProcessesIsCutOff() throws Exception {
-    // The links' port is not part of the handle; the fleet knows it as the node's address.
+  public void garbageOnAPeerPortClosesTheConnection() throws Exception {
+    // The proxy's handle has no address for peer links; the controllers report it.
     String address = fleet.admin("SHOW NODES WHERE node = p2").get(0).get("address");
     exchange(HostPort.parse(address), garbage());
   }
--- a/lab/src/test/java/org/streamcourse/lab/process/DriverTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/DriverTest.java
@@ -27,11 +27,11 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Well-known PostgreSQL clients work through a proxy. */
+/** Common PostgreSQL clients work through a proxy. */
 public class DriverTest {
   private static final int MEGABYTE = 1_000_000;
   private static final int ROWS = 100;
-  private static final Duration PATIENCE = Duration.ofSeconds(120);
+  private static final Duration TIMEOUT = Duration.ofSeconds(120);
 
   private HostPort proxy;
 
@@ -69,7 +69,7 @@
   }
 
   @Test
-  public void batchesRunWhole() throws Exception {
+  public void batchesRunCompletely() throws Exception {
     try (Connection connection = SharedFleet.connect();
         PreparedStatement insert =
             connection.prepareStatement("INSERT INTO shows VALUES (?, 'batch')")) {
@@ -92,9 +92,9 @@
     }
   }
 
-  /** pgjdbc and r2dbc-postgresql send SET in the extended protocol, psql in the simple one. */
+  /** pgjdbc and r2dbc-postgresql send SET in the extended protocol, psql in the simple protocol. */
   @Test
-  public void parametersOfTheSessionHoldInTheExtendedProtocol() throws Exception {
+  public void sessionParametersAreSetInTheExtendedProtocol() throws Exception {
     try (Connection connection = SharedFleet.connect();
         PreparedStatement set =
             connection.prepareStatement("SET streamcourse.max_staleness_ms = 777");
@@ -126,13 +126,13 @@
         statement.execute(name);
         SQLException again = expectThrows(SQLException.class, resent::executeUpdate);
         assertEquals(again.getSQLState(), "SC001", again.getMessage());
-        assertEquals(count(connection, "id = 7000"), 1, "and sees what the first run wrote");
+        assertEquals(count(connection, "id = 7000"), 1, "the session sees the first run's write");
       }
     }
   }
 
   @Test
-  public void namedRequestThatFailsLeavesItsNameFree() throws Exception {
+  public void nameOfAFailedRequestCanBeReused() throws Exception {
     try (Connection connection = SharedFleet.connect();
         Statement statement = connection.createStatement()) {
       statement.execute("SET streamcourse.request_key = 'fails first'");
@@ -151,7 +151,7 @@
   }
 
   @Test
-  public void errorsKeepTheirStateAndTheConnection() throws Exception {
+  public void errorsKeepTheirSqlStateAndTheConnection() throws Exception {
     try (Connection connection = SharedFleet.connect();
         Statement statement = connection.createStatement()) {
       statement.execute("INSERT INTO shows VALUES (2000, 'first')");
@@ -168,7 +168,7 @@
   }
 
   @Test
-  public void rolledBackTransactionsLeaveNothing() throws Exception {
+  public void rolledBackTransactionsLeaveNoRows() throws Exception {
     try (Connection connection = SharedFleet.connect();
         Statement statement = connection.createStatement()) {
       connection.setAutoCommit(false);
@@ -202,15 +202,15 @@
                       "SELECT count(*) FROM SYSTEM_RANGE(1, 1000000) a, SYSTEM_RANGE(1, 1000000) b WHERE a.\"X\" + b.\"X\" < 0"));
       assertEquals(cancelled.getSQLState(), "57014");
       canceller.get();
-      assertTrue(statement.execute("SELECT 1"), "the connection goes on");
+      assertTrue(statement.execute("SELECT 1"), "the connection remains usable");
     }
   }
 
-  /** Three answers of 100 MB each, read slowly, are more than the proxy's heap of 256 MB. */
+  /** Three results of 100 MB each, read slowly, exceed the proxy's heap of 256 MB. */
   @Test
-  public void slowReadersOfLargeAnswersDoNotGrowTheHeap() {
-    Flux<Long> answers = Flux.range(0, 3).flatMap(any -> readSlowly());
-    List<Long> bytes = answers.collectList().block(PATIENCE);
+  public void slowReadersOfLargeResultsDoNotExhaustTheHeap() {
+    Flux<Long> results = Flux.range(0, 3).flatMap(any -> readSlowly());
+    List<Long> bytes = results.collectList().block(TIMEOUT);
     assertEquals(bytes, List.of(100L * MEGABYTE, 100L * MEGABYTE, 100L * MEGABYTE));
     assertTrue(processIsAlive());
   }
@@ -276,14 +276,14 @@
                                     result -> result.map((row, any) -> row.get(0, Long.class))))
                         .next(),
                 PostgresqlConnection::close)
-            .block(PATIENCE);
+            .block(TIMEOUT);
     assertEquals(seen, Long.valueOf(1));
   }
 
   @Test
-  public void psqlWorksWhereItIsPresent() throws Exception {
+  public void psqlWorksWhereItIsInstalled() throws Exception {
     if (!Files.isExecutable(Path.of("/usr/bin/psql"))) {
-      throw new SkipException("psql is not present");
+      throw new SkipException("psql is not installed");
     }
     ProcessBuilder builder =
         new ProcessBuilder(
--- a/lab/src/test/java/org/streamcourse/lab/process/FailureTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/FailureTest.java
@@ -34,18 +34,18 @@
 import org.testng.annotations.Test;
 
 /**
- * Failures of real processes behind relays while callers book, read and roam; one after the other,
- * with one verification of everything that callers were told at the end.
+ * Injects failures of real processes, one after the other, while callers write, read and change
+ * proxies. The last test compares all responses that callers received with the databases.
  */
 public class FailureTest {
   private static final int CALLERS_PER_DATABASE = 4;
   private static final long PAUSE_MILLIS = 15;
   private static final int ROAM_EVERY = 25;
   private static final long MAX_STALENESS_MILLIS = 1_500;
-  private static final Duration PATIENCE = Duration.ofSeconds(180);
+  private static final Duration TIMEOUT = Duration.ofSeconds(180);
   private static final int CONFIGURATION_CHANGES = 300;
-  private static final int RACES = 10;
-  private static final long DRAINED_MILLIS = 3_000;
+  private static final int RACE_ROUNDS = 10;
+  private static final long DRAIN_SETTLE_MILLIS = 3_000;
   private static final int OPERATORS = 3;
 
   private Fleet fleet;
@@ -79,11 +79,11 @@
     fleet.close();
   }
 
-  /** Waits until bookings that are sent from now on are acknowledged in every database. */
+  /** Waits until bookings sent after this call are acknowledged in every database. */
   private void awaitBookings() {
     long since = System.nanoTime();
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .until(
             () ->
                 fleet.profile().databases().stream()
@@ -99,12 +99,12 @@
   private void awaitAllMembersReachable() {
     int members = fleet.members().size();
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .ignoreExceptionsInstanceOf(SQLException.class)
         .until(() -> fleet.admin("SHOW MEMBERS WHERE reachable = true").size() == members);
   }
 
-  /** A group has no primary for a moment in the middle of a change. */
+  /** Waits for a new primary; during the change, the group has no primary for a short time. */
   private void awaitOtherPrimary(String former) {
     String query =
         "SHOW GROUPS WHERE group = "
@@ -113,7 +113,7 @@
             + " AND primary <> "
             + former;
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .ignoreExceptionsInstanceOf(SQLException.class)
         .until(() -> fleet.admin(query).size() == 1);
   }
@@ -129,7 +129,7 @@
   }
 
   @Test(priority = 2)
-  public void primaryFreezesAndWakesUp() throws Exception {
+  public void primaryIsPausedAndResumed() throws Exception {
     Fleet.MemberHandle primary = fleet.primary(database);
     primary.process().pause();
     try {
@@ -143,7 +143,7 @@
   }
 
   @Test(priority = 3)
-  public void primaryIsCutOffWithItsGateways() throws Exception {
+  public void primaryIsPartitionedWithItsGateways() throws Exception {
     Fleet.MemberHandle primary = fleet.primary(database);
     Predicate<String> crossing = crossingRoutes(primary.placement().region());
     fleet.setCut(crossing, true);
@@ -156,7 +156,7 @@
     awaitBookings();
   }
 
-  /** Routes between processes in a region and processes elsewhere. */
+  /** Returns a predicate for routes between a region's processes and those of other regions. */
   private Predicate<String> crossingRoutes(String region) {
     return route -> {
       int colon = route.indexOf(':');
@@ -197,13 +197,13 @@
   }
 
   @Test(priority = 5)
-  public void plannedStopsCutNoRequest() throws Exception {
-    awaitEarlierFailuresTold();
+  public void plannedStopsLeaveNoUnknownOutcome() throws Exception {
+    awaitEarlierFailuresReported();
     long unknownBefore = callers.journal().count(WriteOutcome.UNKNOWN);
     Map<String, AtomicLong> errorsBefore = Map.copyOf(callers.journal().errors());
     for (Fleet.ProxyHandle proxy : fleet.proxies().subList(0, 2)) {
       proxy.process().terminate();
-      assertTrue(proxy.process().await(PATIENCE.toSeconds()), proxy.name() + " stops");
+      assertTrue(proxy.process().await(TIMEOUT.toSeconds()), proxy.name() + " stops");
       proxy.process().start();
       awaitBookings();
     }
@@ -213,10 +213,12 @@
         "errors before " + errorsBefore + ", after " + callers.journal().errors());
   }
 
-  /** A caller may hear of a failure as late as its connection's timeout. */
-  private void awaitEarlierFailuresTold() {
+  /**
+   * Waits until no write becomes unknown for 12 s: callers see earlier failures only at timeouts.
+   */
+  private void awaitEarlierFailuresReported() {
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .during(Duration.ofSeconds(12))
         .pollInterval(Duration.ofSeconds(1))
         .until(() -> countsUnchanged());
@@ -230,7 +232,7 @@
   }
 
   @Test(priority = 6)
-  public void leaderIsFrozenAndWakesUp() throws Exception {
+  public void leaderIsPausedAndResumed() throws Exception {
     String leader = leader();
     fleet.controllers().get(leader).pause();
     try {
@@ -249,22 +251,24 @@
 
   private void awaitLeader(Predicate<String> wanted) {
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .ignoreExceptionsInstanceOf(SQLException.class)
         .until(() -> !leader().isEmpty() && wanted.test(leader()));
   }
 
   @Test(priority = 7)
-  public void secondControllerIsLostAfterTheFirstWasRepaired() throws Exception {
+  public void secondControllerIsLostAfterTheFirstHasRejoined() throws Exception {
     long version = change("first");
-    loseAndAwaitRepair("c1");
-    loseAndAwaitRepair("c2");
-    assertTrue(configurationVersion() >= version, "an accepted configuration never reverts");
+    loseStorageAndAwaitRejoin("c1");
+    loseStorageAndAwaitRejoin("c2");
+    assertTrue(configurationVersion() >= version, "accepted configuration change lost");
     awaitBookings();
   }
 
-  /** Kills a controller, deletes its data folder, and waits until it votes under a new identity. */
-  private void loseAndAwaitRepair(String controller) throws Exception {
+  /**
+   * Kills a controller, deletes its data folder, and waits until it is a voter with a new identity.
+   */
+  private void loseStorageAndAwaitRejoin(String controller) throws Exception {
     String lost = controllerRows(controller).get(0).get("identity");
     FleetProcess process = fleet.controllers().get(controller);
     process.kill();
@@ -275,17 +279,17 @@
     }
     process.startWithout("--bootstrap");
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .pollInterval(Duration.ofMillis(500))
         .ignoreExceptionsInstanceOf(SQLException.class)
-        .until(() -> isRepaired(controllerRows(controller), lost));
+        .until(() -> hasRejoined(controllerRows(controller), lost));
   }
 
   private List<Map<String, String>> controllerRows(String controller) throws SQLException {
     return fleet.admin("SHOW CONTROLLERS WHERE controller = " + controller);
   }
 
-  private static boolean isRepaired(List<Map<String, String>> rows, String lostIdentity) {
+  private static boolean hasRejoined(List<Map<String, String>> rows, String lostIdentity) {
     return rows.size() == 1
         && !rows.get(0).get("identity").equals(lostIdentity)
         && !rows.get(0).get("role").equals("learner");
@@ -315,7 +319,7 @@
     for (int i = 0; i < CONFIGURATION_CHANGES; i++) {
       last = change("many-" + i);
     }
-    assertEquals(change("many-0"), last - CONFIGURATION_CHANGES + 1, "a resend finds its outcome");
+    assertEquals(change("many-0"), last - CONFIGURATION_CHANGES + 1, "version of a resent command");
     for (FleetProcess controller : fleet.controllers().values()) {
       controller.kill();
     }
@@ -328,7 +332,7 @@
   }
 
   @Test(priority = 9)
-  public void drainedMemberGetsNoNewWork() throws Exception {
+  public void drainedMemberGetsNoNewStatements() throws Exception {
     Fleet.MemberHandle primary = fleet.primary(database);
     String replica =
         fleet.members().stream()
@@ -340,7 +344,7 @@
     fleet.admin("DRAIN MEMBER " + replica + " IN GROUP " + database);
     long version = configurationVersion();
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .until(
             () ->
                 fleet
@@ -349,14 +353,14 @@
                     .get("nodes_in_force")
                     .equals(Integer.toString(fleet.proxies().size())));
     assertTrue(configurationVersion() >= version);
-    // What the member was given before the drain was in force ends well within this time.
-    TimeUnit.MILLISECONDS.sleep(DRAINED_MILLIS);
+    // Statements sent to the member before the drain was in force end within this time.
+    TimeUnit.MILLISECONDS.sleep(DRAIN_SETTLE_MILLIS);
     long before = statementsRunBy(replica);
     awaitBookings();
-    TimeUnit.MILLISECONDS.sleep(DRAINED_MILLIS);
-    assertEquals(statementsRunBy(replica), before, "a drained member gets no new work");
+    TimeUnit.MILLISECONDS.sleep(DRAIN_SETTLE_MILLIS);
+    assertEquals(statementsRunBy(replica), before, "statements run by the drained member");
     fleet.admin("RESTORE MEMBER " + replica + " IN GROUP " + database);
-    await().atMost(PATIENCE).until(() -> statementsRunBy(replica) > before);
+    await().atMost(TIMEOUT).until(() -> statementsRunBy(replica) > before);
     awaitBookings();
   }
 
@@ -375,12 +379,12 @@
     String target = primary.member().equals("m1") ? "m2" : "m1";
     fleet.admin("SWITCH PRIMARY OF GROUP " + database + " TO " + target);
     String query = "SHOW GROUPS WHERE group = " + database + " AND primary = " + target;
-    await().atMost(PATIENCE).until(() -> fleet.admin(query).size() == 1);
+    await().atMost(TIMEOUT).until(() -> fleet.admin(query).size() == 1);
     awaitBookings();
   }
 
   @Test(priority = 11)
-  public void successorDiesToo() throws Exception {
+  public void newPrimaryIsKilledToo() throws Exception {
     Fleet.MemberHandle first = fleet.primary(database);
     first.process().kill();
     awaitOtherPrimary(first.member());
@@ -394,12 +398,12 @@
   }
 
   @Test(priority = 12)
-  public void memberLeavesOnTheWordOfThePlatform() throws Exception {
+  public void memberOnThePlatformListIsDrained() throws Exception {
     Fleet.MemberHandle primary = fleet.primary(database);
     String query = "SHOW MEMBERS WHERE draining = true";
     fleet.machineList().setLeaving(Set.of(primary.sql().toString()));
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .ignoreExceptionsInstanceOf(SQLException.class)
         .until(() -> fleet.admin(query).size() == 1);
     awaitOtherPrimary(primary.member());
@@ -407,12 +411,13 @@
     fleet.machineList().setLeaving(Set.of());
     fleet.admin("RESTORE MEMBER " + primary.member() + " IN GROUP " + database);
     awaitBookings();
-    assertEquals(fleet.admin(query).size(), 0, "what an operator restored stays restored");
+    assertEquals(
+        fleet.admin(query).size(), 0, "members that drain after the operator restored them");
   }
 
   @Test(priority = 13)
-  public void oneOfRacingOperatorsWins() throws Exception {
-    for (int round = 0; round < RACES; round++) {
+  public void oneOfSeveralConcurrentCommandsIsAccepted() throws Exception {
+    for (int round = 0; round < RACE_ROUNDS; round++) {
       String sql =
           String.format(
               "ALTER GROUP %s SET catch_up_wait_ms = %%d AT VERSION %d",
@@ -423,7 +428,7 @@
         operators.add(CompletableFuture.supplyAsync(() -> isAccepted(own)));
       }
       long winners = operators.stream().filter(CompletableFuture::join).count();
-      assertEquals(winners, 1, "commands that expect the same version");
+      assertEquals(winners, 1, "commands accepted for the same expected version");
     }
   }
 
@@ -438,18 +443,18 @@
   }
 
   @Test(priority = 14)
-  public void unheardProxyGivesUpItsConnections() throws Exception {
+  public void proxyWithoutControllersClosesItsMemberConnections() throws Exception {
     Fleet.ProxyHandle proxy = fleet.proxies().get(0);
-    assertTrue(memberConnections(proxy) > 0, "it has connections while it is heard");
+    assertTrue(memberConnections(proxy) > 0, "member connections before the partition");
     Predicate<String> links =
         route -> route.matches("link:(" + proxy.name() + "->c\\d|c\\d->" + proxy.name() + ")");
     fleet.setCut(links, true);
     try {
-      await().atMost(PATIENCE).until(() -> memberConnections(proxy) == 0);
+      await().atMost(TIMEOUT).until(() -> memberConnections(proxy) == 0);
     } finally {
       fleet.setCut(links, false);
     }
-    await().atMost(PATIENCE).until(() -> memberConnections(proxy) > 0);
+    await().atMost(TIMEOUT).until(() -> memberConnections(proxy) > 0);
     awaitAllMembersReachable();
     awaitBookings();
   }
@@ -461,14 +466,14 @@
   }
 
   @Test(priority = 100)
-  public void everythingThatCallersWereToldIsTrue() throws Exception {
+  public void responsesToCallersMatchTheDatabases() throws Exception {
     callers.stop();
     TimeUnit.SECONDS.sleep(1);
     Journal journal = callers.journal();
     Verification result = Verification.of(fleet, journal);
-    assertEquals(result.lostWrites(), 0, "acknowledged and lost");
-    assertEquals(result.duplicateWrites(), 0, "run twice");
-    assertEquals(result.falseNotRun(), 0, "told as not run, and run");
+    assertEquals(result.lostWrites(), 0, "acknowledged writes that are missing");
+    assertEquals(result.duplicateWrites(), 0, "writes that ran twice");
+    assertEquals(result.falseNotRun(), 0, "writes refused as not run that did run");
     assertEquals(journal.violations().toString(), "[]");
     assertTrue(journal.count(WriteOutcome.ACKNOWLEDGED) > 500);
     assertTrue(journal.reads().size() > 2_000);
--- a/lab/src/test/java/org/streamcourse/lab/process/LinkTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/LinkTest.java
@@ -32,15 +32,15 @@
 import org.testng.annotations.Test;
 import reactor.netty.resources.LoopResources;
 
-/** The loss of a link is told once, not again with the first message to the peer's next run. */
+/** Loss, replacement and compression of peer links between two processes on loopback. */
 public class LinkTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
-  private static final Duration SILENCE = Duration.ofMillis(300);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
+  private static final Duration REPLY_TIMEOUT = Duration.ofMillis(300);
   private static final int EXCHANGES = 20;
   private static final String HOST = "127.0.0.1";
 
-  /** Counts what a process hears from its links. */
-  private static final class Counts implements PeerHandler {
+  /** Records the events that a process receives from its peer links. */
+  private static final class RecordingHandler implements PeerHandler {
     private final AtomicInteger received = new AtomicInteger();
     private final AtomicInteger lost = new AtomicInteger();
     private final Queue<Object> messages = new ConcurrentLinkedQueue<>();
@@ -78,70 +78,73 @@
         peer -> new PeerAddress(HOST, peerPort));
   }
 
-  /** A message that its receiver answers. */
-  private static PositionRequest question(long number) {
+  /** Returns a message for which the sender expects a reply. */
+  private static PositionRequest messageWithReply(long number) {
     return new PositionRequest(number, "group", "member");
   }
 
+  /** Guards against a loss that is reported again with the first message to the restarted peer. */
   @Test
-  public void lossOfALinkIsToldOnce() throws Exception {
+  public void lossOfALinkIsReportedOnce() throws Exception {
     LoopResources loops = LoopResources.create("link-test", 2, true);
     int portOfEdge = freePort();
     int portOfGateway = freePort();
-    Counts edge = new Counts();
+    RecordingHandler edge = new RecordingHandler();
     TcpPeerNetwork edgeNetwork = network("edge", loops, portOfGateway);
     edgeNetwork.start(HOST, portOfEdge, edge);
     LoopResources firstLoops = LoopResources.create("gateway", 1, true);
-    Counts firstRun = new Counts();
-    network("gateway", firstLoops, portOfEdge).start(HOST, portOfGateway, firstRun);
+    RecordingHandler firstIncarnation = new RecordingHandler();
+    network("gateway", firstLoops, portOfEdge).start(HOST, portOfGateway, firstIncarnation);
     edgeNetwork.send("gateway", new KeepStreams(List.of(1L)));
-    await().atMost(PATIENCE).until(() -> firstRun.received.get() == 1);
-    // All channels of the first run close, as those of a process that ends.
-    firstLoops.disposeLater(Duration.ZERO, Duration.ofSeconds(5)).block(PATIENCE);
-    await().atMost(PATIENCE).until(() -> edge.lost.get() == 1);
-    Counts nextRun = new Counts();
-    network("gateway", loops, portOfEdge).start(HOST, portOfGateway, nextRun);
+    await().atMost(TIMEOUT).until(() -> firstIncarnation.received.get() == 1);
+    // Closes all channels of the first incarnation, as at the end of a process.
+    firstLoops.disposeLater(Duration.ZERO, Duration.ofSeconds(5)).block(TIMEOUT);
+    await().atMost(TIMEOUT).until(() -> edge.lost.get() == 1);
+    RecordingHandler nextIncarnation = new RecordingHandler();
+    network("gateway", loops, portOfEdge).start(HOST, portOfGateway, nextIncarnation);
     edgeNetwork.send("gateway", new KeepStreams(List.of(2L)));
-    await().atMost(PATIENCE).until(() -> nextRun.received.get() == 1);
-    assertEquals(edge.lost.get(), 1, "the message belongs to the next run");
+    await().atMost(TIMEOUT).until(() -> nextIncarnation.received.get() == 1);
+    assertEquals(edge.lost.get(), 1, "links lost after the restart");
     loops.dispose();
   }
 
-  /** Guards against a delivered message that counts as dropped (TWICE). */
+  /** Guards against a message that is delivered and also reported as undelivered (TWICE). */
   @Test
-  public void onlyMessagesThatWereOnNoLinkAreToldAsUndelivered() throws Exception {
+  public void deliveredMessagesAreNotReportedAsUndelivered() throws Exception {
     LoopResources loops = LoopResources.create("dropped-test", 2, true);
     int portOfEdge = freePort();
     int portOfHolder = freePort();
-    Counts edge = new Counts();
+    RecordingHandler edge = new RecordingHandler();
     TcpPeerNetwork edgeNetwork = network("edge", loops, portOfHolder);
     edgeNetwork.start(HOST, portOfEdge, edge);
     LoopResources holderLoops = LoopResources.create("holder", 1, true);
-    Counts holder = new Counts();
+    RecordingHandler holder = new RecordingHandler();
     network("holder", holderLoops, portOfEdge).start(HOST, portOfHolder, holder);
     AtomicLong numbers = new AtomicLong();
     edgeNetwork.send("holder", new KeepStreams(List.of(numbers.incrementAndGet())));
-    await().atMost(PATIENCE).until(() -> holder.received.get() == 1);
+    await().atMost(TIMEOUT).until(() -> holder.received.get() == 1);
     holderLoops.disposeLater(Duration.ZERO, Duration.ofSeconds(5)).subscribe();
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .pollInterval(Duration.ofMillis(1))
         .until(
             () -> {
               edgeNetwork.send("holder", new KeepStreams(List.of(numbers.incrementAndGet())));
               return edge.lost.get() > 0 && edge.undelivered.size() > EXCHANGES;
             });
-    assertTrue(Collections.disjoint(edge.undelivered, holder.messages), "delivered and dropped");
+    assertTrue(
+        Collections.disjoint(edge.undelivered, holder.messages),
+        "messages both delivered and reported as undelivered");
     loops.dispose();
   }
 
   @Test
-  public void aBusyLinkToAnotherRegionIsCompressedAndLosesNothing() throws Exception {
+  public void aBusyLinkToAnotherRegionIsCompressedWithoutLoss() throws Exception {
     LoopResources loops = LoopResources.create("far-test", 2, true);
     int portOfEdge = freePort();
     int portOfHolder = freePort();
-    Counts edge = new Counts();
-    Counts holder = new Counts();
+    RecordingHandler edge = new RecordingHandler();
+    RecordingHandler holder = new RecordingHandler();
     TcpPeerNetwork edgeNetwork = network("edge", loops, portOfHolder);
     TcpPeerNetwork holderNetwork = network("holder", loops, portOfEdge);
     edgeNetwork.setPlacement(new Placement("r1", "r1-a"));
@@ -149,13 +152,13 @@
     edgeNetwork.start(HOST, portOfEdge, edge);
     holderNetwork.start(HOST, portOfHolder, holder);
     holderNetwork.send("edge", new KeepStreams(List.of(1L)));
-    await().atMost(PATIENCE).until(() -> edge.received.get() == 1);
+    await().atMost(TIMEOUT).until(() -> edge.received.get() == 1);
     List<Long> streams = LongStream.range(0, 40).boxed().toList();
     int messages = 500;
     for (int i = 0; i < messages; i++) {
       edgeNetwork.send("holder", new KeepStreams(streams));
     }
-    await().atMost(PATIENCE).until(() -> holder.received.get() == messages);
+    await().atMost(TIMEOUT).until(() -> holder.received.get() == messages);
     long plain = (long) messages * StreamTypes.codec().encode(new KeepStreams(streams)).length;
     assertTrue(2 * edgeNetwork.sentBytes() < plain, edgeNetwork.sentBytes() + " for " + plain);
     edgeNetwork.traffic().forEach(each -> assertEquals(each.distance(), PeerDistance.OTHER_REGION));
@@ -163,129 +166,131 @@
   }
 
   @Test
-  public void linkThatACutLeavesStuckIsReplaced() throws Exception {
+  public void unresponsiveLinkIsReplacedAfterAPartition() throws Exception {
     LoopResources loops = LoopResources.create("stuck-test", 2, true);
     int portOfEdge = freePort();
     int portOfController = freePort();
     int portOfRelay = freePort();
-    Counts edge = new Counts();
-    Counts controller = new Counts();
+    RecordingHandler edge = new RecordingHandler();
+    RecordingHandler controller = new RecordingHandler();
     Relay relay =
         new Relay(new HostPort(HOST, portOfRelay), new HostPort(HOST, portOfController), 0, loops);
-    TcpPeerNetwork edgeNetwork = impatientNetwork("edge", loops, portOfRelay);
+    TcpPeerNetwork edgeNetwork = networkWithShortReplyTimeout("edge", loops, portOfRelay);
     edgeNetwork.start(HOST, portOfEdge, edge);
-    impatientNetwork("controller", loops, portOfEdge).start(HOST, portOfController, controller);
-    edgeNetwork.send("controller", question(1));
-    await().atMost(PATIENCE).until(() -> controller.received.get() == 1);
+    networkWithShortReplyTimeout("controller", loops, portOfEdge)
+        .start(HOST, portOfController, controller);
+    edgeNetwork.send("controller", messageWithReply(1));
+    await().atMost(TIMEOUT).until(() -> controller.received.get() == 1);
     relay.cut();
-    int sentIntoTheCut = 2;
-    for (int i = 0; i < sentIntoTheCut; i++) {
-      edgeNetwork.send("controller", question(2));
+    int sentDuringThePartition = 2;
+    for (int i = 0; i < sentDuringThePartition; i++) {
+      edgeNetwork.send("controller", messageWithReply(2));
     }
     relay.healNewConnectionsOnly();
     await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .until(
             () -> {
-              edgeNetwork.send("controller", question(3));
+              edgeNetwork.send("controller", messageWithReply(3));
               return controller.received.get() > 1;
             });
     relay.close();
     loops.dispose();
   }
 
-  /** Guards against a message that is lost since it is the one that finds its link stuck. */
+  /** Guards against the loss of the message whose sending detects that its link is unresponsive. */
   @Test
-  public void theMessageThatFindsItsLinkStuckGoesOverTheNextLink() throws Exception {
+  public void messageThatDetectsAnUnresponsiveLinkIsSentOnTheNextLink() throws Exception {
     LoopResources loops = LoopResources.create("found-stuck-test", 2, true);
     int portOfEdge = freePort();
     int portOfHolder = freePort();
-    Counts edge = new Counts();
-    Counts holder = new Counts();
-    TcpPeerNetwork edgeNetwork = impatientNetwork("edge", loops, portOfHolder);
+    RecordingHandler edge = new RecordingHandler();
+    RecordingHandler holder = new RecordingHandler();
+    TcpPeerNetwork edgeNetwork = networkWithShortReplyTimeout("edge", loops, portOfHolder);
     edgeNetwork.start(HOST, portOfEdge, edge);
-    impatientNetwork("holder", loops, portOfEdge).start(HOST, portOfHolder, holder);
-    edgeNetwork.send("holder", question(1));
-    await().atMost(PATIENCE).until(() -> holder.received.get() == 1);
-    // The first message on the link waited for it; the next one is written and not answered.
-    edgeNetwork.send("holder", question(2));
-    await().pollDelay(SILENCE.multipliedBy(2)).atMost(PATIENCE).until(() -> true);
-    edgeNetwork.send("holder", question(3));
-    await().atMost(PATIENCE).until(() -> edge.lost.get() == 1);
-    await().atMost(PATIENCE).until(() -> holder.received.get() == 3);
+    networkWithShortReplyTimeout("holder", loops, portOfEdge).start(HOST, portOfHolder, holder);
+    edgeNetwork.send("holder", messageWithReply(1));
+    await().atMost(TIMEOUT).until(() -> holder.received.get() == 1);
+    // The first message was queued until the link was open; the second is written and not answered.
+    edgeNetwork.send("holder", messageWithReply(2));
+    await().pollDelay(REPLY_TIMEOUT.multipliedBy(2)).atMost(TIMEOUT).until(() -> true);
+    edgeNetwork.send("holder", messageWithReply(3));
+    await().atMost(TIMEOUT).until(() -> edge.lost.get() == 1);
+    await().atMost(TIMEOUT).until(() -> holder.received.get() == 3);
     loops.dispose();
   }
 
   @DataProvider
-  public Object[][] messagesWithoutAnswer() {
-    TermPosition place = new TermPosition(1, 1);
+  public Object[][] messagesThatNeedNoReply() {
+    TermPosition position = new TermPosition(1, 1);
     return new Object[][] {
       {new RelayMessage.Pong()},
       {new StreamMessage.CloseStream(1)},
       {new StreamMessage.Credit(1, 1)},
       {new KeepStreams(List.of(1L))},
       {new StreamMessage.Broken(1, "link", "it broke")},
-      {new StreamMessage.AwaitReceived("group", "member", 1, place)},
-      {new StreamMessage.ReceivedReport("group", "member", 1, place)}
+      {new StreamMessage.AwaitReceived("group", "member", 1, position)},
+      {new StreamMessage.ReceivedReport("group", "member", 1, position)}
     };
   }
 
-  /** Guards against a healthy link that is closed, with a statement on it, after a quiet time. */
-  @Test(dataProvider = "messagesWithoutAnswer")
-  public void silenceAfterAMessageThatNeedsNoAnswerIsBorne(Object message) throws Exception {
+  /** Guards against closing a healthy link, and with it a running statement, after idle time. */
+  @Test(dataProvider = "messagesThatNeedNoReply")
+  public void linkStaysOpenAfterAMessageThatNeedsNoReply(Object message) throws Exception {
     LoopResources loops = LoopResources.create("one-way-test", 2, true);
     int portOfHolder = freePort();
     int portOfSender = freePort();
-    Counts holder = new Counts();
-    Counts sender = new Counts();
-    TcpPeerNetwork holderNetwork = impatientNetwork("holder", loops, portOfSender);
+    RecordingHandler holder = new RecordingHandler();
+    RecordingHandler sender = new RecordingHandler();
+    TcpPeerNetwork holderNetwork = networkWithShortReplyTimeout("holder", loops, portOfSender);
     holderNetwork.start(HOST, portOfHolder, holder);
-    impatientNetwork("sender", loops, portOfHolder).start(HOST, portOfSender, sender);
+    networkWithShortReplyTimeout("sender", loops, portOfHolder).start(HOST, portOfSender, sender);
     holderNetwork.send("sender", message);
-    await().atMost(PATIENCE).until(() -> sender.received.get() == 1);
+    await().atMost(TIMEOUT).until(() -> sender.received.get() == 1);
     holderNetwork.send("sender", message);
-    await().pollDelay(SILENCE.multipliedBy(2)).atMost(PATIENCE).until(() -> true);
+    await().pollDelay(REPLY_TIMEOUT.multipliedBy(2)).atMost(TIMEOUT).until(() -> true);
     holderNetwork.send("sender", message);
-    await().atMost(PATIENCE).until(() -> sender.received.get() == 3);
+    await().atMost(TIMEOUT).until(() -> sender.received.get() == 3);
     assertEquals(holder.lost.get(), 0, "links lost");
     loops.dispose();
   }
 
   @Test
-  public void aPeerThatOpensAnotherLinkGetsAnotherBack() throws Exception {
+  public void aPeerThatOpensANewLinkGetsANewLinkInReturn() throws Exception {
     LoopResources loops = LoopResources.create("again-test", 2, true);
     int portOfHolder = freePort();
     int portOfSender = freePort();
-    Counts holder = new Counts();
-    Counts sender = new Counts();
-    TcpPeerNetwork holderNetwork = impatientNetwork("holder", loops, portOfSender);
+    RecordingHandler holder = new RecordingHandler();
+    RecordingHandler sender = new RecordingHandler();
+    TcpPeerNetwork holderNetwork = networkWithShortReplyTimeout("holder", loops, portOfSender);
     holderNetwork.start(HOST, portOfHolder, holder);
-    TcpPeerNetwork senderNetwork = impatientNetwork("sender", loops, portOfHolder);
+    TcpPeerNetwork senderNetwork = networkWithShortReplyTimeout("sender", loops, portOfHolder);
     senderNetwork.start(HOST, portOfSender, sender);
     senderNetwork.send("holder", new RelayMessage.Ping());
     holderNetwork.send("sender", new RelayMessage.Pong());
-    await().atMost(PATIENCE).until(() -> sender.received.get() == 1 && holder.received.get() == 1);
-    await().pollDelay(SILENCE.multipliedBy(2)).atMost(PATIENCE).until(() -> true);
-    TcpPeerNetwork restarted = impatientNetwork("sender", loops, portOfHolder);
+    await().atMost(TIMEOUT).until(() -> sender.received.get() == 1 && holder.received.get() == 1);
+    await().pollDelay(REPLY_TIMEOUT.multipliedBy(2)).atMost(TIMEOUT).until(() -> true);
+    TcpPeerNetwork restarted = networkWithShortReplyTimeout("sender", loops, portOfHolder);
     restarted.send("holder", new RelayMessage.Ping());
-    await().atMost(PATIENCE).until(() -> holder.lost.get() == 1);
+    await().atMost(TIMEOUT).until(() -> holder.lost.get() == 1);
     for (int i = 0; i < EXCHANGES; i++) {
       int before = holder.received.get();
       holderNetwork.send("sender", new RelayMessage.Pong());
       senderNetwork.send("holder", new RelayMessage.Ping());
-      await().atMost(PATIENCE).until(() -> holder.received.get() > before);
+      await().atMost(TIMEOUT).until(() -> holder.received.get() > before);
     }
     assertTrue(holder.lost.get() <= 2, "each side replaces its link once: " + holder.lost.get());
     loops.dispose();
   }
 
-  private static TcpPeerNetwork impatientNetwork(String self, LoopResources loops, int peerPort) {
+  private static TcpPeerNetwork networkWithShortReplyTimeout(
+      String self, LoopResources loops, int peerPort) {
     return new TcpPeerNetwork(
         self,
         StreamTypes.codec(),
         new FleetKey("key"),
         loops,
         peer -> new PeerAddress(HOST, peerPort),
-        SILENCE);
+        REPLY_TIMEOUT);
   }
 }
--- a/lab/src/test/java/org/streamcourse/lab/process/PlannedStopLogTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/PlannedStopLogTest.java
@@ -12,9 +12,9 @@
 import org.streamcourse.process.StreamcourseCommand;
 import org.testng.annotations.Test;
 
-/** What a process decides while it stops stands in its log. */
+/** A process' log contains the lines that are written during a planned stop. */
 public class PlannedStopLogTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(120);
+  private static final Duration TIMEOUT = Duration.ofSeconds(120);
   private static final int HEAP_MB = 128;
 
   @Test
@@ -32,9 +32,9 @@
     proxy.setLogLevel("INFO");
     proxy.start();
     try {
-      await().atMost(PATIENCE).until(() -> Files.readString(log).contains("accepts callers"));
+      await().atMost(TIMEOUT).until(() -> Files.readString(log).contains("accepts callers"));
       proxy.terminate();
-      assertTrue(proxy.await(PATIENCE.toSeconds()), "the proxy stops");
+      assertTrue(proxy.await(TIMEOUT.toSeconds()), "the proxy stops");
       String lines = Files.readString(log);
       assertTrue(lines.contains("proxy p1 is stopping"), lines);
       assertTrue(lines.contains("proxy p1 has stopped"), lines);
@@ -44,7 +44,7 @@
     }
   }
 
-  /** A proxy whose only controller is not there. */
+  /** Writes settings of a proxy whose only controller does not run. */
   private static Path settings(Path folder, Ports ports) throws Exception {
     String yaml =
         """
--- a/lab/src/test/java/org/streamcourse/lab/process/QuietFleetTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/QuietFleetTest.java
@@ -16,19 +16,19 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Requests that are far apart are served as others, since a quiet link is not a stuck one. */
+/** Guards against requests that fail after idle time because idle links count as unresponsive. */
 public class QuietFleetTest {
   private static final int CONTROLLERS = 3;
 
-  /** More than hold a member's connections, so that they ask each other. */
+  /** More proxies than hold connections to one member, so that proxies send each other requests. */
   private static final int PROXIES = 4;
 
   private static final int ROUNDS = 4;
 
-  /** Longer than the silence after which a link counts as stuck. */
-  private static final long QUIET_SECONDS = 6;
+  /** Longer than the time without reply after which a link counts as unresponsive. */
+  private static final long IDLE_SECONDS = 6;
 
-  /** Nodes tell each other every second which transactions are open. */
+  /** Longer than the interval of 1 s at which nodes report open transactions to each other. */
   private static final long TRANSACTION_SECONDS = 2;
 
   private Fleet fleet;
@@ -63,21 +63,21 @@
   }
 
   @Test
-  public void requestsAfterAQuietTimeAreServed() throws Exception {
+  public void requestsAfterIdleTimeAreServed() throws Exception {
     List<String> failed = new ArrayList<>();
     for (int round = 0; round < ROUNDS; round++) {
-      requestAfterAQuietTime(failed);
+      requestAfterIdleTime(failed);
     }
     assertEquals(failed, List.of(), failed.toString());
   }
 
-  /** While a transaction is open, nodes tell each other so, which needs no answer. */
+  /** Nodes report open transactions to each other; the receiver sends no reply to such a report. */
   @Test
-  public void requestsAfterAbandonedTransactionsAreServed() throws Exception {
+  public void requestsAfterUnfinishedTransactionsAreServed() throws Exception {
     List<String> failed = new ArrayList<>();
     for (int round = 0; round < ROUNDS; round++) {
       abandonTransactions();
-      requestAfterAQuietTime(failed);
+      requestAfterIdleTime(failed);
     }
     assertEquals(failed, List.of(), failed.toString());
   }
@@ -100,8 +100,8 @@
     }
   }
 
-  private void requestAfterAQuietTime(List<String> failed) throws Exception {
-    TimeUnit.SECONDS.sleep(QUIET_SECONDS);
+  private void requestAfterIdleTime(List<String> failed) throws Exception {
+    TimeUnit.SECONDS.sleep(IDLE_SECONDS);
     for (Fleet.ProxyHandle proxy : fleet.proxies()) {
       for (String database : fleet.profile().databases()) {
         execute(proxy, database, "CREATE TABLE IF NOT EXISTS quiet (id INT)", failed);
--- a/lab/src/test/java/org/streamcourse/lab/process/SharedFleet.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/SharedFleet.java
@@ -7,7 +7,7 @@
 import org.streamcourse.lab.fleet.Profile;
 import org.streamcourse.process.settings.HostPort;
 
-/** One fleet of real processes for all tests that need one; started at first use. */
+/** A fleet of real processes that several test classes share; started at first use. */
 final class SharedFleet {
   private static Fleet fleet;
 
@@ -35,7 +35,7 @@
     return get().proxies().stream().map(Fleet.ProxyHandle::callers).toList();
   }
 
-  /** A caller's connection to the first database through the first proxy. */
+  /** Opens a caller's connection to the first database through the first proxy. */
   static Connection connect() throws Exception {
     return Fleet.connect(anyProxy(), database(), "");
   }
--- a/lab/src/test/java/org/streamcourse/lab/process/SilencedLinkTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/SilencedLinkTest.java
@@ -19,13 +19,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Links that stay silent for good while new ones work are replaced, so that proxies serve again.
+ * Guards against proxies that keep links which never receive data again, although new connections
+ * would work: the links must be replaced, so that the proxies serve again.
  */
 public class SilencedLinkTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
   private static final int PROXIES = 2;
 
-  /** The controllers remove a node that has been silent for 5 s. */
+  /** Longer than the 5 s without heartbeat after which controllers remove a node. */
   private static final long REMOVAL_SECONDS = 6;
 
   private static final int CONTROLLERS = 3;
@@ -76,7 +77,7 @@
   }
 
   @Test(dataProvider = "routes")
-  public void aProxyServesAgainThoughItsLinksStaySilent(String routes) throws Exception {
+  public void aProxyReplacesUnresponsiveLinksAndServesAgain(String routes) throws Exception {
     List<Relay> relays =
         fleet.relays().entrySet().stream()
             .filter(each -> each.getKey().startsWith(routes))
@@ -85,9 +86,9 @@
     relays.forEach(Relay::cut);
     TimeUnit.SECONDS.sleep(1);
     relays.forEach(Relay::healNewConnectionsOnly);
-    // Whoever is confirmed stays so for a while; after it only a new link brings the next word.
+    // The controllers' confirmation of the node expires; its renewal needs a new link.
     TimeUnit.SECONDS.sleep(REMOVAL_SECONDS);
-    await().atMost(PATIENCE).ignoreExceptionsInstanceOf(SQLException.class).until(this::writes);
+    await().atMost(TIMEOUT).ignoreExceptionsInstanceOf(SQLException.class).until(this::writes);
   }
 
   private boolean writes() throws SQLException {
--- a/lab/src/test/java/org/streamcourse/lab/process/TransactionTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/TransactionTest.java
@@ -18,15 +18,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Transactions of many callers at once, more than the member has slots, half of them rolled back: a
- * statement that ran within another caller's transaction would be seen there, or kept or lost with
- * it.
+ * Guards against a statement that runs within another caller's transaction, where it would be
+ * visible, or committed or rolled back with it. More callers than the member has slots run
+ * transactions concurrently; half of the transactions are rolled back.
  */
 public class TransactionTest {
   private static final int CALLERS = 10;
   private static final int TRANSACTIONS = 6;
   private static final int PARTS = 3;
-  private static final long PATIENCE_SECONDS = 120;
+  private static final long TIMEOUT_SECONDS = 120;
 
   @BeforeClass
   public void createTable() throws Exception {
@@ -37,14 +37,14 @@
   }
 
   @Test
-  public void statementsOfDifferentTransactionsNeverMix() throws Exception {
+  public void statementsRunInTheirOwnTransaction() throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(CALLERS);
     List<Future<Void>> runs = new ArrayList<>();
     for (int caller = 0; caller < CALLERS; caller++) {
       runs.add(threads.submit(callerRuns(caller)));
     }
     for (Future<Void> run : runs) {
-      run.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      run.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
     threads.shutdown();
     try (Connection connection = SharedFleet.connect()) {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Neighbours do the opposite at the same time. */
+  /** Callers with adjacent numbers end concurrent transactions in opposite ways. */
   private static boolean isCommitted(int caller, int number) {
     return (caller + number) % 2 == 0;
   }
--- a/lab/src/test/java/org/streamcourse/lab/soak/SoakPlanTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/soak/SoakPlanTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** The plan of faults depends on the seed alone and respects its limits. */
+/** The fault plan of a topology is determined by its seed and respects its limits. */
 public class SoakPlanTest {
   private static final long LENGTH_MILLIS = 30_000;
   private static final int SEEDS = 200;
