--- a/server/src/main/java/org/streamcourse/process/explain/ExplainCommand.java
+++ b/server/src/main/java/org/streamcourse/process/explain/ExplainCommand.java
@@ -8,13 +8,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints what led to the end of one request. */
+/** Prints the decisions that led to one request's end. */
 @Command(
     name = "explain",
     mixinStandardHelpOptions = true,
     description =
-        "Prints the decisions that led to one request's end, from the logs of all processes, and"
-            + " its cause.")
+        "Prints the decisions that led to one request's end, and their cause, from the logs of all"
+            + " processes.")
 public final class ExplainCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
@@ -27,7 +27,7 @@
   @Option(
       names = "--logs",
       required = true,
-      description = "Folder with the JSON lines of all processes, one file a process.")
+      description = "Folder with the JSON log lines of all processes, one file per process.")
   private Path logs;
 
   @Override
--- a/server/src/main/java/org/streamcourse/process/explain/Explanation.java
+++ b/server/src/main/java/org/streamcourse/process/explain/Explanation.java
@@ -7,26 +7,26 @@
 import java.util.Map;
 
 /**
- * The decisions that led to a request's end, in the order of time.
+ * The logged decisions and state changes that led to a request's end, in chronological order.
  *
- * @param request its id
- * @param steps decisions about the request, and beliefs that changed meanwhile
- * @param isFinal whether the last decision about the request tells how it ended
- * @param cause why it ended so
+ * @param request id of the request
+ * @param steps decisions about the request, and state changes shortly before and during it
+ * @param isFinal whether the last decision about the request reports how the request ended
+ * @param cause description of the final decision, the one before it and the last state change
  */
 public record Explanation(String request, List<Step> steps, boolean isFinal, String cause) {
 
   /**
-   * One decision, or one changed belief.
+   * One logged decision about the request, or one state change of a node or member.
    *
-   * @param at when it was made
-   * @param node process that made it
-   * @param ofRequest whether it is about the request itself
-   * @param what what it is about
-   * @param step step at which it arose
-   * @param peer the node or member on the other side
-   * @param outcome how it was decided
-   * @param inputs what it rested on, with ages and versions
+   * @param at time of the decision
+   * @param node process that logged the decision
+   * @param ofRequest whether the line carries the id of the request
+   * @param what text of the log message
+   * @param step step of the request, or kind of the decision
+   * @param peer node or member that the decision is about
+   * @param outcome result of the decision
+   * @param inputs facts behind the decision, with ages and versions
    */
   public record Step(
       Instant at,
@@ -59,16 +59,16 @@
   /**
    * Returns the decisions about the request itself.
    *
-   * @return steps without the beliefs
+   * @return steps without the state changes
    */
   public List<Step> ofRequest() {
     return steps.stream().filter(Step::ofRequest).toList();
   }
 
   /**
-   * Writes it for people.
+   * Formats the explanation as text.
    *
-   * @return lines; the last one tells the cause
+   * @return lines, of which the last one names the cause
    */
   public List<String> lines() {
     Instant end = steps.get(steps.size() - 1).at();
--- a/server/src/main/java/org/streamcourse/process/explain/LogFolder.java
+++ b/server/src/main/java/org/streamcourse/process/explain/LogFolder.java
@@ -25,18 +25,18 @@
   /**
    * Opens a folder.
    *
-   * @param folder folder with one file, or several, for each process
-   * @throws StreamcourseException when it is no folder
+   * @param folder folder with one or several files for each process
+   * @throws StreamcourseException if the path is not a folder
    */
   LogFolder(Path folder) {
     if (!Files.isDirectory(folder)) {
       throw new StreamcourseException(
-          ErrorCode.INVALID_SETTINGS, "explain", "", "--logs: there is no folder " + folder);
+          ErrorCode.INVALID_SETTINGS, "explain", "", "--logs: folder does not exist:  " + folder);
     }
     this.folder = folder;
   }
 
-  /** Reads all lines that fulfil a condition. */
+  /** Reads all lines that match a condition. */
   List<LogLine> read(Predicate<LogLine> wanted) {
     List<LogLine> found = new ArrayList<>();
     for (Path file : files()) {
@@ -67,7 +67,7 @@
       if (!(e.getCause() instanceof MalformedInputException)) {
         throw e;
       }
-      // A file that holds no text is no log.
+      // A file that is not UTF-8 text is not a log and is skipped.
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -78,7 +78,7 @@
       JsonNode json = MAPPER.readTree(line);
       return json.isObject() ? LogLine.of(node, json) : Optional.empty();
     } catch (JsonProcessingException e) {
-      // The last line of a process that was killed while it wrote.
+      // The process was killed while it wrote its last line.
       return Optional.empty();
     }
   }
--- a/server/src/main/java/org/streamcourse/process/explain/LogLine.java
+++ b/server/src/main/java/org/streamcourse/process/explain/LogLine.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 
 /**
- * One line of a process' log.
+ * One line of a process's log.
  *
- * @param node process that wrote it, from the file's name
- * @param at time of the event that it tells
- * @param writtenAt time at which it was written
+ * @param node process that wrote the line, from the file's name
+ * @param at time of the logged event
+ * @param writtenAt time at which the line was written
  * @param message text up to the first structured field
  * @param fields structured fields
  */
@@ -24,8 +24,8 @@
   private static final String MESSAGE = "message";
   private static final String STARTED_AGO = "startedMillisAgo";
 
-  /** What the encoder adds to each line. */
-  private static final Set<String> OF_ENCODER =
+  /** Fields that the log encoder adds to each line. */
+  private static final Set<String> ENCODER_FIELDS =
       Set.of(
           TIMESTAMP,
           MESSAGE,
@@ -36,7 +36,7 @@
           "level_value",
           "stack_trace");
 
-  /** Reads a line; empty when it is none of a log. */
+  /** Converts a JSON object to a log line; empty if its timestamp is missing or invalid. */
   static Optional<LogLine> of(String node, JsonNode json) {
     String timestamp = json.path(TIMESTAMP).asText();
     try {
@@ -45,7 +45,7 @@
       json.fields()
           .forEachRemaining(
               each -> {
-                if (!OF_ENCODER.contains(each.getKey())) {
+                if (!ENCODER_FIELDS.contains(each.getKey())) {
                   fields.put(each.getKey(), each.getValue().asText());
                 }
               });
@@ -53,17 +53,17 @@
       String message = json.path(MESSAGE).asText();
       return Optional.of(new LogLine(node, writtenAt.minusMillis(ago), writtenAt, message, fields));
     } catch (DateTimeParseException e) {
-      // Output of a process that is no line of its log, such as a crash report of the runtime.
+      // Other output of the process, such as a crash report of the runtime.
       return Optional.empty();
     }
   }
 
-  /** Returns a field, or an empty text. */
+  /** Returns the value of a field; empty if the line has no such field. */
   String field(String name) {
     return fields.getOrDefault(name, "");
   }
 
-  /** Returns the first of some fields that is there and not empty, or an empty text. */
+  /** Returns the first non-empty value among the given fields; empty if there is none. */
   String firstOf(String... names) {
     for (String name : names) {
       if (!field(name).isEmpty()) {
--- a/server/src/main/java/org/streamcourse/process/explain/RequestExplainer.java
+++ b/server/src/main/java/org/streamcourse/process/explain/RequestExplainer.java
@@ -14,8 +14,9 @@
 import org.streamcourse.process.StreamcourseException;
 
 /**
- * Finds in the logs of all processes what led to a request's end: the lines that name the request,
- * and those about beliefs that touch its database, members and nodes shortly before.
+ * Collects from the logs of all processes the lines that explain how a request ended: the lines
+ * that carry the request's id, and state changes of its database, members and nodes shortly before
+ * and during the request.
  */
 public final class RequestExplainer {
   private static final String REQUEST = "request";
@@ -23,20 +24,20 @@
   private static final String SUBJECT = "subject";
 
   /**
-   * Beliefs that changed earlier than this before a request are left out: a change of primary and
-   * what led to it are over within it.
+   * State changes that precede the request's first line by more than this are left out. A change of
+   * primary, with the events that cause it, completes within this time.
    */
-  private static final Duration BELIEFS_BEFORE = Duration.ofSeconds(10);
+  private static final Duration STATE_CHANGE_WINDOW = Duration.ofSeconds(10);
 
-  /** Most beliefs that are told, the newest ones. */
-  private static final int MOST_BELIEFS = 20;
+  /** Only the newest state changes are listed, at most this many. */
+  private static final int MAX_STATE_CHANGES = 20;
 
-  /** Begins of messages that tell how a request ended. */
-  private static final List<String> FINAL =
+  /** Prefixes of messages that report how a request ended. */
+  private static final List<String> FINAL_MESSAGES =
       List.of("request failed", "statement answered", "statement given up", "statement over limit");
 
-  /** Begins of messages about a node's own state, told when the node took part. */
-  private static final List<String> OWN_STATE =
+  /** Prefixes of messages about a node's state, listed for nodes that handled the request. */
+  private static final List<String> NODE_STATE =
       List.of(
           "confirmed by",
           "installs the stored image",
@@ -47,8 +48,8 @@
           "requests the image of",
           "asks ");
 
-  /** Begins of messages about who leads the controllers. */
-  private static final List<String> LEADERSHIP =
+  /** Prefixes of messages about leadership and voters of the controllers. */
+  private static final List<String> LEADERSHIP_MESSAGES =
       List.of(
           "became leader",
           "lost leadership",
@@ -59,7 +60,8 @@
           "steps down",
           "changes voters");
 
-  private static final Set<String> TOLD_APART =
+  /** Fields that have a column of their own in a step, and are left out of its inputs. */
+  private static final Set<String> SHOWN_SEPARATELY =
       Set.of(
           REQUEST, "step", "plan", "kind", "outcome", "answer", "code", "decided", "peer", MEMBER,
           "gateway", "holder", SUBJECT);
@@ -69,8 +71,8 @@
   /**
    * Opens the logs.
    *
-   * @param folder folder with one file of JSON lines, or several, for each process
-   * @throws StreamcourseException when it is no folder
+   * @param folder folder with one or several files of JSON lines for each process
+   * @throws StreamcourseException if the path is not a folder
    */
   public RequestExplainer(Path folder) {
     logs = new LogFolder(folder);
@@ -79,12 +81,12 @@
   /**
    * Explains a request.
    *
-   * @param id id that the caller was told, or the client's statement id
-   * @return what led to its end
-   * @throws StreamcourseException when no line names it
+   * @param id id from the error that the caller received, or the client's statement id
+   * @return decisions and state changes that led to the request's end
+   * @throws StreamcourseException if no line carries the id
    */
   public Explanation explain(String id) {
-    List<LogLine> own = logs.read(line -> names(line.field(REQUEST), id));
+    List<LogLine> own = logs.read(line -> isSameRequest(line.field(REQUEST), id));
     if (own.isEmpty()) {
       throw new StreamcourseException(
           ErrorCode.INVALID_SETTINGS,
@@ -94,17 +96,20 @@
     }
     own.sort(Comparator.comparing(LogLine::at).thenComparing(LogLine::writtenAt));
     LogLine last = lastDecision(own);
-    List<LogLine> beliefs = beliefs(own, last.writtenAt());
+    List<LogLine> stateChanges = stateChanges(own, last.writtenAt());
     List<LogLine> all = new ArrayList<>(own);
-    all.addAll(beliefs);
+    all.addAll(stateChanges);
     all.sort(Comparator.comparing(LogLine::at).thenComparing(line -> line.equals(last)));
     List<Explanation.Step> steps =
         all.stream().map(line -> stepOf(line, own.contains(line))).toList();
-    return new Explanation(id, steps, isFinal(last), cause(last, own, beliefs));
+    return new Explanation(id, steps, isFinal(last), cause(last, own, stateChanges));
   }
 
-  /** Nodes that run another node's statement know its id without the session's number. */
-  private static boolean names(String field, String id) {
+  /**
+   * Compares ids with and without the suffix {@code @SESSION}: a node that runs a statement for
+   * another node logs the id without the session's number.
+   */
+  private static boolean isSameRequest(String field, String id) {
     return !field.isEmpty()
         && (field.equals(id) || field.startsWith(id + '@') || id.startsWith(field + '@'));
   }
@@ -117,17 +122,17 @@
   }
 
   private static boolean isFinal(LogLine line) {
-    return startsWithAny(line.message(), FINAL);
+    return startsWithAny(line.message(), FINAL_MESSAGES);
   }
 
-  private static boolean startsWithAny(String message, List<String> begins) {
-    return begins.stream().anyMatch(message::startsWith);
+  private static boolean startsWithAny(String message, List<String> prefixes) {
+    return prefixes.stream().anyMatch(message::startsWith);
   }
 
-  // ---- beliefs ----
+  // ---- state changes ----
 
-  private List<LogLine> beliefs(List<LogLine> own, Instant end) {
-    Instant from = own.get(0).at().minus(BELIEFS_BEFORE);
+  private List<LogLine> stateChanges(List<LogLine> own, Instant end) {
+    Instant from = own.get(0).at().minus(STATE_CHANGE_WINDOW);
     Set<String> subjects = new TreeSet<>();
     Set<String> nodes = new TreeSet<>();
     own.forEach(line -> addNames(line, subjects, nodes));
@@ -137,9 +142,9 @@
                 line.field(REQUEST).isEmpty()
                     && !line.at().isBefore(from)
                     && !line.at().isAfter(end)
-                    && touches(line, subjects, nodes));
+                    && concerns(line, subjects, nodes));
     found.sort(Comparator.comparing(LogLine::at));
-    return found.subList(Math.max(0, found.size() - MOST_BELIEFS), found.size());
+    return found.subList(Math.max(0, found.size() - MAX_STATE_CHANGES), found.size());
   }
 
   private static void addNames(LogLine line, Set<String> subjects, Set<String> nodes) {
@@ -159,12 +164,12 @@
     }
   }
 
-  private static boolean touches(LogLine line, Set<String> subjects, Set<String> nodes) {
-    boolean ofNode = nodes.contains(line.node()) && startsWithAny(line.message(), OWN_STATE);
-    boolean ofSubject =
+  private static boolean concerns(LogLine line, Set<String> subjects, Set<String> nodes) {
+    boolean aboutNode = nodes.contains(line.node()) && startsWithAny(line.message(), NODE_STATE);
+    boolean aboutSubject =
         subjects.contains(line.field(SUBJECT)) || nodes.contains(line.field(SUBJECT));
-    boolean ofLeader = startsWithAny(line.message(), LEADERSHIP);
-    return ofNode || ofSubject || ofLeader || mentions(line.message(), subjects);
+    boolean aboutLeader = startsWithAny(line.message(), LEADERSHIP_MESSAGES);
+    return aboutNode || aboutSubject || aboutLeader || mentions(line.message(), subjects);
   }
 
   private static boolean mentions(String message, Set<String> subjects) {
@@ -173,11 +178,11 @@
         .anyMatch(each -> message.contains(' ' + each + ' '));
   }
 
-  // ---- telling ----
+  // ---- formatting ----
 
   private static Explanation.Step stepOf(LogLine line, boolean ofRequest) {
     Map<String, String> inputs = new TreeMap<>(line.fields());
-    inputs.keySet().removeAll(TOLD_APART);
+    inputs.keySet().removeAll(SHOWN_SEPARATELY);
     return new Explanation.Step(
         line.at(),
         line.node(),
@@ -195,7 +200,7 @@
     return gateway.isEmpty() ? peer : peer + " through " + gateway;
   }
 
-  private static String cause(LogLine last, List<LogLine> own, List<LogLine> beliefs) {
+  private static String cause(LogLine last, List<LogLine> own, List<LogLine> stateChanges) {
     String cause = describe(last);
     String before =
         own.stream()
@@ -203,13 +208,13 @@
             .reduce((earlier, later) -> later)
             .map(each -> "; before it " + describe(each))
             .orElse("");
-    String belief =
-        beliefs.stream()
+    String stateChange =
+        stateChanges.stream()
             .filter(each -> !each.field(SUBJECT).isEmpty())
             .reduce((earlier, later) -> later)
             .map(each -> "; last decided meanwhile: " + describe(each))
             .orElse("");
-    return cause + before + belief;
+    return cause + before + stateChange;
   }
 
   private static String describe(LogLine line) {
--- a/server/src/main/java/org/streamcourse/process/explain/package-info.java
+++ b/server/src/main/java/org/streamcourse/process/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Explains one request from the logs of all processes. */
+/** Explains how one request ended, from the logs of all processes. */
 package org.streamcourse.process.explain;
--- a/server/src/test/java/org/streamcourse/process/explain/ExplainTest.java
+++ b/server/src/test/java/org/streamcourse/process/explain/ExplainTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** One request's decisions are found in the logs of all processes. */
+/** Tests that a request's decisions are collected from the logs of all processes. */
 public class ExplainTest {
   private static final String ID = "p1-abc-3-9";
 
@@ -81,13 +81,13 @@
   }
 
   @Test
-  public void tellsTheChainInTheOrderOfTime() throws IOException {
+  public void listsDecisionsInChronologicalOrder() throws IOException {
     logAFailedWrite();
     Explanation found = new RequestExplainer(logs).explain(ID);
     assertTrue(found.isFinal());
-    List<String> told =
+    List<String> listed =
         found.steps().stream().map(each -> each.node() + ' ' + each.step()).toList();
-    assertEquals(told, List.of("p1 admit", "c1 PRIMARY_CHANGE_STARTED", "p1 route"));
+    assertEquals(listed, List.of("p1 admit", "c1 PRIMARY_CHANGE_STARTED", "p1 route"));
     assertEquals(found.ofRequest().size(), 2);
     Explanation.Step attempt = found.steps().get(0);
     assertEquals(attempt.peer(), "m1 through p2");
@@ -107,13 +107,13 @@
   }
 
   @Test
-  public void aChainWithoutAnEndIsTold() throws IOException {
+  public void explanationWithoutFinalDecisionIsNotFinal() throws IOException {
     log("p1", line("20.000", "request attempt", "\"request\":\"" + ID + "\",\"step\":\"admit\""));
     assertFalse(new RequestExplainer(logs).explain(ID).isFinal());
   }
 
   @Test
-  public void findsAStatementAtTheNodeThatRanItForAnother() throws IOException {
+  public void findsLinesOfTheNodeThatRanTheStatementForAnotherNode() throws IOException {
     log(
         "edge",
         line(
