--- a/server/src/main/java/org/streamcourse/process/logging/JsonLogConfigurator.java
+++ b/server/src/main/java/org/streamcourse/process/logging/JsonLogConfigurator.java
@@ -10,13 +10,14 @@
 import net.logstash.logback.encoder.LogstashEncoder;
 
 /**
- * Sets up the logs of a process: JSON lines on a standard stream, through a {@link LogQueue}. Done
- * in code, since reading a configuration file takes a large part of the time to start.
+ * Configures Logback: JSON lines on a standard stream, written through a {@link LogQueue}. The
+ * configuration is code because parsing a Logback file takes a large part of a process's start.
  *
  * <p>Environment variables: {@code STREAMCOURSE_LOG_TARGET}, {@code System.err} when unset or
  * {@code System.out}; {@code STREAMCOURSE_LOG_LEVEL}, {@code INFO} when unset; {@code
- * STREAMCOURSE_LOG_DELAY_MILLIS}, time from the first line until lines are written, 0 when unset. A
- * file named by the system property {@code logback.configurationFile} is used in place of all this.
+ * STREAMCOURSE_LOG_DELAY_MILLIS}, time between the first line and the start of writing, 0 when
+ * unset. A file named by the system property {@code logback.configurationFile} replaces this
+ * configuration.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_TOP_PRIORITY)
 public final class JsonLogConfigurator extends ContextAwareBase implements Configurator {
@@ -31,7 +32,7 @@
     if (System.getProperty(FILE_PROPERTY) != null) {
       return ExecutionStatus.INVOKE_NEXT_IF_ANY;
     }
-    LateAppender console = new LateAppender(delayMillis(), () -> console(context));
+    LazyAppender console = new LazyAppender(delayMillis(), () -> console(context));
     console.setContext(context);
     console.start();
     LogQueue queue = new LogQueue();
@@ -46,7 +47,7 @@
     context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME).setLevel(Level.INFO);
     context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME).addAppender(queue);
     Runtime.getRuntime()
-        .addShutdownHook(new Thread(() -> LogFlush.endAfterStops(context::stop), "log-flush"));
+        .addShutdownHook(new Thread(() -> LogFlush.closeAfterStops(context::stop), "log-flush"));
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
@@ -55,7 +56,7 @@
     try {
       return delay == null ? 0 : Math.max(0, Long.parseLong(delay));
     } catch (NumberFormatException e) {
-      throw new IllegalArgumentException(DELAY_VARIABLE + " is no number: " + delay, e);
+      throw new IllegalArgumentException(DELAY_VARIABLE + " is not a number: " + delay, e);
     }
   }
 
--- a/server/src/main/java/org/streamcourse/process/logging/LateAppender.java
+++ b/server/src/main/java/org/streamcourse/process/logging/LazyAppender.java
@@ -8,43 +8,44 @@
 import java.util.function.Supplier;
 
 /**
- * Creates another appender with the first line, on the thread that writes lines, so that a process
- * need not wait for it before it serves. With a delay the lines wait in the queue while the process
- * takes up its work after a start; a stop ends the delay.
+ * Creates the actual appender when the first line arrives, on the thread that writes lines, so that
+ * the start of the process does not wait for it. An optional delay leaves the lines in the queue
+ * while the process starts up; stopping the queue ends the delay.
  */
-final class LateAppender extends AppenderBase<ILoggingEvent> {
+final class LazyAppender extends AppenderBase<ILoggingEvent> {
   private final long delayMillis;
-  private final Supplier<Appender<ILoggingEvent>> creation;
+  private final Supplier<Appender<ILoggingEvent>> factory;
   private final CountDownLatch delayEnded = new CountDownLatch(1);
   private Appender<ILoggingEvent> created;
 
-  LateAppender(long delayMillis, Supplier<Appender<ILoggingEvent>> creation) {
+  LazyAppender(long delayMillis, Supplier<Appender<ILoggingEvent>> factory) {
     this.delayMillis = delayMillis;
-    this.creation = creation;
+    this.factory = factory;
   }
 
   @Override
   protected void append(ILoggingEvent line) {
     if (created == null) {
-      waitOnce();
-      created = creation.get();
+      awaitDelay();
+      created = factory.get();
     }
     created.doAppend(line);
   }
 
   /**
-   * Ends the delay, now or before it begins. The interrupt with which a queue stops does not do it
-   * for certain: a writer that has not taken its first line yet uses the interrupt up.
+   * Ends the delay, also if it has not begun. The interrupt that a stopping queue sends to its
+   * writer thread is not sufficient: a thread that has not taken its first line yet consumes the
+   * interrupt before the delay begins.
    */
   void endDelay() {
     delayEnded.countDown();
   }
 
-  private void waitOnce() {
+  private void awaitDelay() {
     try {
       delayEnded.await(delayMillis, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
-      // The queue stops: what is in it is written at once.
+      // The queue is stopping: its remaining lines are written without further delay.
       Thread.currentThread().interrupt();
     }
   }
--- a/server/src/main/java/org/streamcourse/process/logging/LogFlush.java
+++ b/server/src/main/java/org/streamcourse/process/logging/LogFlush.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Ends the log when the process ends: only once its planned stop is over, since what is decided
- * during a stop, which may take tens of seconds, must be told as well. Hooks of a runtime that ends
- * run side by side, so their order has to be kept here.
+ * Closes the log when the process exits, after its planned stop has finished: decisions during a
+ * stop, which may take tens of seconds, must be logged too. The runtime runs shutdown hooks
+ * concurrently, so this class orders the hook that closes the log after the stop.
  */
 public final class LogFlush {
   private static final Set<CountDownLatch> STOPS = ConcurrentHashMap.newKeySet();
@@ -15,16 +15,16 @@
   private LogFlush() {}
 
   /**
-   * Keeps the log open until a stop is over.
+   * Keeps the log open until a planned stop has finished.
    *
-   * @param stopped counted down when it is
+   * @param stopped counted down when the stop has finished
    */
   public static void waitFor(CountDownLatch stopped) {
     STOPS.add(stopped);
   }
 
-  /** Waits until all stops are over, and writes what is left. */
-  static void endAfterStops(Runnable end) {
+  /** Waits until all stops have finished, then closes the log, which writes the queued lines. */
+  static void closeAfterStops(Runnable close) {
     try {
       for (CountDownLatch stopped : STOPS) {
         stopped.await();
@@ -32,7 +32,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      end.run();
+      close.run();
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/process/logging/LogQueue.java
+++ b/server/src/main/java/org/streamcourse/process/logging/LogQueue.java
@@ -6,17 +6,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Takes log lines from the threads that decide and hands them to a thread that writes them. A full
- * queue never makes a thread wait: the line is dropped and counted.
+ * Passes log lines from the threads that log to a thread that writes. When the queue is full, a
+ * line is dropped and counted instead of blocking the thread that logs.
  */
 public final class LogQueue extends AsyncAppender {
-  private static final int MOST_LINES = 2_048;
+  private static final int MAX_LINES = 2_048;
   private static final int FLUSH_MILLIS = 500;
   private static final AtomicLong LOST = new AtomicLong();
 
-  /** Creates a queue that is not started. */
+  /** Creates a queue; {@link #start} must be called before use. */
   public LogQueue() {
-    setQueueSize(MOST_LINES);
+    setQueueSize(MAX_LINES);
     setDiscardingThreshold(0);
     setNeverBlock(true);
     setMaxFlushTime(FLUSH_MILLIS);
@@ -38,15 +38,15 @@
   }
 
   private static void endDelay(Appender<ILoggingEvent> appender) {
-    if (appender instanceof LateAppender late) {
-      late.endDelay();
+    if (appender instanceof LazyAppender lazy) {
+      lazy.endDelay();
     }
   }
 
   /**
-   * Counts the lines that this process has lost since a queue was full.
+   * Returns the number of lines that this process dropped because a queue was full.
    *
-   * @return count since the start
+   * @return count since the process started
    */
   public static long lost() {
     return LOST.get();
--- a/server/src/main/java/org/streamcourse/process/logging/package-info.java
+++ b/server/src/main/java/org/streamcourse/process/logging/package-info.java
@@ -1,2 +1,2 @@
-/** How a process writes its structured log lines. */
+/** Logback configuration and the asynchronous queue for structured log lines. */
 package org.streamcourse.process.logging;
--- a/server/src/test/java/org/streamcourse/process/logging/LogQueueTest.java
+++ b/server/src/test/java/org/streamcourse/process/logging/LogQueueTest.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.CountDownLatch;
 import org.testng.annotations.Test;
 
-/** Lines never make a thread wait, what is dropped is counted, and a stop writes what is left. */
+/** Logging never blocks, dropped lines are counted, and a stop writes the queued lines. */
 public class LogQueueTest {
   private static final int LINES = 5_000;
   private static final long LONG_DELAY_MILLIS = 600_000;
 
-  /** Keeps lines; the first one waits until it is let go. */
+  /** Stores lines; blocks on the first one until {@link #release} is counted down. */
   private static final class Slow extends AppenderBase<ILoggingEvent> {
-    private final CountDownLatch letGo = new CountDownLatch(1);
+    private final CountDownLatch release = new CountDownLatch(1);
     private final CopyOnWriteArrayList<String> written = new CopyOnWriteArrayList<>();
 
     @Override
     protected void append(ILoggingEvent line) {
       try {
-        letGo.await();
+        release.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -56,7 +56,7 @@
   }
 
   @Test
-  public void aWriterThatStandsStillMakesNobodyWait() {
+  public void aBlockedWriterDoesNotBlockLogging() {
     LoggerContext context = context();
     Slow slow = new Slow();
     LogQueue queue = queue(context, slow);
@@ -65,21 +65,21 @@
       queue.doAppend(line(context, i));
     }
     long lost = LogQueue.lost() - lostBefore;
-    assertTrue(lost > 0, "more lines came than the queue holds");
-    slow.letGo.countDown();
+    assertTrue(lost > 0, "more lines are logged than the queue holds");
+    slow.release.countDown();
     queue.stop();
     assertEquals(slow.written.size() + lost, LINES, "each line is written or counted as lost");
   }
 
   @Test
-  public void aStopEndsTheDelayAndWritesWhatIsLeft() {
+  public void aStopEndsTheDelayAndWritesQueuedLines() {
     LoggerContext context = context();
     Slow target = new Slow();
-    target.letGo.countDown();
+    target.release.countDown();
     target.setContext(context);
     target.start();
-    LateAppender late = new LateAppender(LONG_DELAY_MILLIS, () -> target);
-    LogQueue queue = queue(context, late);
+    LazyAppender lazy = new LazyAppender(LONG_DELAY_MILLIS, () -> target);
+    LogQueue queue = queue(context, lazy);
     for (int i = 0; i < 10; i++) {
       queue.doAppend(line(context, i));
     }
@@ -87,22 +87,22 @@
     assertEquals(target.written.size(), 10);
   }
 
-  /** The writer has used the interrupt up before its first line, as when it is slow to begin. */
+  /** Covers a writer thread that consumes the queue's interrupt before it takes its first line. */
   @Test(timeOut = LONG_DELAY_MILLIS / 10)
-  public void aDelayThatHasEndedBeforeItBeginsIsNotWaitedFor() {
+  public void aDelayEndedBeforeTheFirstLineIsSkipped() {
     LoggerContext context = context();
     Slow target = new Slow();
-    target.letGo.countDown();
+    target.release.countDown();
     target.setContext(context);
     target.start();
-    LateAppender late = new LateAppender(LONG_DELAY_MILLIS, () -> target);
+    LazyAppender lazy = new LazyAppender(LONG_DELAY_MILLIS, () -> target);
     LogQueue queue = new LogQueue();
     queue.setContext(context);
-    late.setContext(context);
-    late.start();
-    queue.addAppender(late);
+    lazy.setContext(context);
+    lazy.start();
+    queue.addAppender(lazy);
     queue.stop();
-    late.doAppend(line(context, 0));
+    lazy.doAppend(line(context, 0));
     assertEquals(target.written.size(), 1);
   }
 }
