--- a/server/src/main/java/org/streamcourse/process/settings/CommonSettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/CommonSettings.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parts that the settings of controllers and proxies share. */
+/** Record types and helpers shared by the settings of controllers and proxies. */
 public final class CommonSettings {
   private CommonSettings() {}
 
   /**
-   * A controller as others reach it.
+   * Name and address of a controller.
    *
-   * @param name its name
-   * @param address where it accepts links
+   * @param name name of the controller
+   * @param address address at which the controller accepts peer links
    */
   public record Peer(
       @Setting("Name of the controller.") String name,
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Turns routes into a table.
+   * Indexes routes by their target.
    *
    * @param routes configured routes
    * @return addresses by target
--- a/server/src/main/java/org/streamcourse/process/settings/ControllerSettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/ControllerSettings.java
@@ -9,15 +9,15 @@
  * Settings file of a controller.
  *
  * @param name name of this controller
- * @param dataFolder folder for its files
- * @param links where it accepts links of other processes
- * @param admin where it accepts operators
- * @param metrics where it serves metrics, or null
- * @param fleetKey secret of the fleet
+ * @param dataFolder data folder of the controller
+ * @param links address of the port for peer links
+ * @param admin address of the admin port
+ * @param metrics address of the metrics endpoint, or null
+ * @param fleetKey secret shared by all processes of the fleet
  * @param controllers all controllers, this one included
- * @param platformList where the platform serves its list of machines, or null
+ * @param platformList address of the platform's list of machines, or null
  * @param operators users of the admin port
- * @param routes replaced addresses
+ * @param routes addresses that replace advertised ones
  */
 public record ControllerSettings(
     @Setting("Name of this controller, one of `controllers`.") String name,
--- a/server/src/main/java/org/streamcourse/process/settings/JsonFields.java
+++ b/server/src/main/java/org/streamcourse/process/settings/JsonFields.java
@@ -7,21 +7,21 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Reads fields of JSON texts that come from outside; what is wrong is named by its field. */
+/** Reads fields of JSON texts from outside the process; errors name the offending field. */
 public final class JsonFields {
   private static final ObjectMapper JSON =
       new ObjectMapper()
           .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-  /** A text that can't be taken; the message names the field and shows no value. */
+  /** Reports an invalid JSON text. The message names the field and never contains its value. */
   public static final class FormatException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
     /**
      * Creates an error.
      *
-     * @param message field, and what it must be
+     * @param message name of the field and the form that it must have
      */
     public FormatException(String message) {
       super(message);
@@ -31,128 +31,130 @@
   private JsonFields() {}
 
   /**
-   * Parses a whole text.
+   * Parses a JSON text.
    *
-   * @param text the text
-   * @return its root
+   * @param text JSON text
+   * @return root node
    */
   public static JsonNode parse(String text) {
     try {
       return JSON.readTree(text);
     } catch (JsonProcessingException e) {
-      // Its own message may quote the text around the error, and there may be secrets.
+      // Jackson's message may quote the text around the error, which may contain secrets.
       JsonLocation at = e.getLocation();
-      String place = at == null ? "" : ", line " + at.getLineNr() + " column " + at.getColumnNr();
-      throw new FormatException("body: not whole JSON, or a name twice in one object" + place);
+      String location =
+          at == null ? "" : ", line " + at.getLineNr() + " column " + at.getColumnNr();
+      throw new FormatException(
+          "body: not valid JSON, or a duplicate name in one object" + location);
     }
   }
 
   /**
-   * Checks that there is an object.
+   * Checks that a node is a JSON object.
    *
-   * @param node what stands there
-   * @param place its name
+   * @param node node to check, or null
+   * @param path name of the node for errors
    */
-  public static void requireObject(JsonNode node, String place) {
+  public static void requireObject(JsonNode node, String path) {
     if (node == null || !node.isObject()) {
-      throw new FormatException(place + ": must be an object");
+      throw new FormatException(path + ": must be an object");
     }
   }
 
   /**
-   * Reads a list.
+   * Reads an array.
    *
-   * @param node object that holds it
-   * @param field its field
-   * @param place name of the field for errors
-   * @return the list
+   * @param node object with the field
+   * @param field name of the field
+   * @param path name of the field for errors
+   * @return array node
    */
-  public static JsonNode list(JsonNode node, String field, String place) {
+  public static JsonNode list(JsonNode node, String field, String path) {
     JsonNode list = node.path(field);
     if (!list.isArray()) {
-      throw new FormatException(place + ": must be a list");
+      throw new FormatException(path + ": must be a list");
     }
     return list;
   }
 
   /**
-   * Reads a text that is not empty.
+   * Reads a non-empty string.
    *
-   * @param node object that holds it
-   * @param field its field
-   * @param place name of the object for errors
+   * @param node object with the field
+   * @param field name of the field
+   * @param path name of the object for errors
    * @return the text
    */
-  public static String text(JsonNode node, String field, String place) {
-    return text(node.path(field), place + '.' + field);
+  public static String text(JsonNode node, String field, String path) {
+    return text(node.path(field), path + '.' + field);
   }
 
   /**
-   * Reads a text that is not empty.
+   * Reads a non-empty string.
    *
-   * @param value what stands there
-   * @param place its name
+   * @param value node to read
+   * @param path name of the node for errors
    * @return the text
    */
-  public static String text(JsonNode value, String place) {
+  public static String text(JsonNode value, String path) {
     if (!value.isTextual() || value.asText().isEmpty()) {
-      throw new FormatException(place + ": must be a text that is not empty");
+      throw new FormatException(path + ": must be a text that is not empty");
     }
     return value.asText();
   }
 
   /**
-   * Reads a whole number that is not negative.
+   * Reads a non-negative integer.
    *
-   * @param node object that holds it
-   * @param field its field
-   * @param place name of the object for errors
-   * @param fallback stands for a missing one, unless it is null
+   * @param node object with the field
+   * @param field name of the field
+   * @param path name of the object for errors
+   * @param fallback value for a missing field, or null if the field is required
    * @return the number
    */
-  public static long number(JsonNode node, String field, String place, Long fallback) {
+  public static long number(JsonNode node, String field, String path, Long fallback) {
     JsonNode value = node.path(field);
     if (value.isMissingNode() && fallback != null) {
       return fallback;
     }
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
-      throw new FormatException(place + '.' + field + ": must be a whole number from 0");
+      throw new FormatException(path + '.' + field + ": must be a whole number from 0");
     }
     return value.asLong();
   }
 
   /**
-   * Reads a number that is not negative.
+   * Reads a non-negative number.
    *
-   * @param node object that holds it
-   * @param field its field
-   * @param place name of the object for errors
-   * @param fallback stands for a missing one
+   * @param node object with the field
+   * @param field name of the field
+   * @param path name of the object for errors
+   * @param fallback value for a missing field
    * @return the number
    */
-  public static double decimal(JsonNode node, String field, String place, double fallback) {
+  public static double decimal(JsonNode node, String field, String path, double fallback) {
     JsonNode value = node.path(field);
     if (value.isMissingNode()) {
       return fallback;
     }
     if (!value.isNumber() || !(value.asDouble() >= 0) || Double.isInfinite(value.asDouble())) {
-      throw new FormatException(place + '.' + field + ": must be a number from 0");
+      throw new FormatException(path + '.' + field + ": must be a number from 0");
     }
     return value.asDouble();
   }
 
   /**
-   * Reads a truth value.
+   * Reads a boolean.
    *
-   * @param node object that holds it
-   * @param field its field
-   * @param place name of the object for errors
-   * @return the value, false for a missing one
+   * @param node object with the field
+   * @param field name of the field
+   * @param path name of the object for errors
+   * @return value of the field, false if it is missing
    */
-  public static boolean flag(JsonNode node, String field, String place) {
+  public static boolean flag(JsonNode node, String field, String path) {
     JsonNode value = node.path(field);
     if (!value.isMissingNode() && !value.isBoolean()) {
-      throw new FormatException(place + '.' + field + ": must be true or false");
+      throw new FormatException(path + '.' + field + ": must be true or false");
     }
     return value.asBoolean(false);
   }
--- a/server/src/main/java/org/streamcourse/process/settings/ProxySettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/ProxySettings.java
@@ -9,26 +9,27 @@
  * Settings file of a proxy.
  *
  * @param name name of this node
- * @param region region in which it stands
- * @param zone zone in which it stands
- * @param dataFolder folder for its files
- * @param callers where it accepts callers
- * @param links where it accepts links of other processes
- * @param metrics where it serves metrics, or null
- * @param fleetKey secret of the fleet
+ * @param region region of the node
+ * @param zone zone of the node, unique among all regions
+ * @param dataFolder data folder of the process
+ * @param callers address of the port for callers
+ * @param links address of the port for peer links
+ * @param metrics address of the metrics endpoint, or null
+ * @param fleetKey secret shared by all processes of the fleet
  * @param controllers all controllers
  * @param users users who may log in as callers
  * @param memberUser user name at the database members
- * @param memberPassword its password
- * @param readPolicy how reads are spread
+ * @param memberPassword password at the database members
+ * @param readPolicy policy that chooses the member for a read
  * @param warmConnections connections kept open to each member
- * @param maxQueueMillis longest wait for a member that a new request may have to expect
+ * @param maxQueueMillis longest expected wait for a member; requests that would wait longer are
+ *     refused
  * @param readBudgetMillis time within which a read must start to run
  * @param writeBudgetMillis time within which a write must start to run
  * @param maxRequestBytes longest request of a caller
  * @param drainSeconds longest time that a planned stop waits for open transactions
  * @param workers number of worker threads
- * @param routes replaced addresses
+ * @param routes addresses that replace advertised ones
  */
 public record ProxySettings(
     @Setting("Name of this node, unique in the fleet.") String name,
--- a/server/src/main/java/org/streamcourse/process/settings/RecordMapping.java
+++ b/server/src/main/java/org/streamcourse/process/settings/RecordMapping.java
@@ -17,30 +17,30 @@
 import org.yaml.snakeyaml.nodes.Tag;
 
 /**
- * Turns the nodes of a YAML text into the values of a settings record: texts, numbers, truth
- * values, addresses, records and lists of these.
+ * Maps the nodes of a YAML text to the values of a settings record: strings, numbers, booleans,
+ * addresses, records and lists of these.
  *
- * <p>A general data binder took a fifth of the processor time of a proxy's start, 100 to 160 ms for
- * a file of ten lines, counted over all threads on a busy machine; this takes 40 to 60 ms there.
+ * <p>A general data binder takes 100 to 160 ms of CPU time for a file of ten lines on a busy
+ * machine, a fifth of a proxy's start; this class takes 40 to 60 ms.
  */
 final class RecordMapping {
   private static final String NO_VALUE = "none";
 
-  /** A value that can't be taken; the field and the line are known. */
-  static final class Refused extends RuntimeException {
+  /** Reports an invalid value; the message names the field and, if known, the line. */
+  static final class InvalidSetting extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Refused(Node at, String what) {
+    InvalidSetting(Node at, String what) {
       super(at == null ? what : "line " + (at.getStartMark().getLine() + 1) + ": " + what);
     }
   }
 
   private RecordMapping() {}
 
-  /** Reads a mapping into a record; {@code prefix} stands before the names of its fields. */
+  /** Reads a mapping into a record; errors name its fields with {@code prefix} in front. */
   static <T extends Record> T read(Node node, Class<T> type, String prefix) {
     if (!(node instanceof MappingNode mapping)) {
-      throw new Refused(
+      throw new InvalidSetting(
           node, prefix.isEmpty() ? "has no fields" : "'" + prefix + "' has no fields");
     }
     Map<String, Node> fields = fields(mapping, type, prefix);
@@ -60,11 +60,11 @@
       String name = each.getKeyNode() instanceof ScalarNode key ? key.getValue() : "";
       if (!known.contains(name)) {
         String list = known.stream().collect(Collectors.joining(", "));
-        throw new Refused(
-            each.getKeyNode(), "unknown field '" + prefix + name + "', known here are " + list);
+        throw new InvalidSetting(
+            each.getKeyNode(), "unknown field '" + prefix + name + "'; known fields are " + list);
       }
       if (fields.put(name, each.getValueNode()) != null) {
-        throw new Refused(each.getKeyNode(), "field '" + prefix + name + "' is there twice");
+        throw new InvalidSetting(each.getKeyNode(), "field '" + prefix + name + "' appears twice");
       }
     }
     return fields;
@@ -77,7 +77,7 @@
       return checked(node, component, name, setting);
     }
     if (setting.fallback().isEmpty()) {
-      throw new Refused(null, "field '" + name + "' is missing");
+      throw new InvalidSetting(null, "field '" + name + "' is missing");
     }
     return setting.fallback().equals(NO_VALUE)
         ? null
@@ -98,7 +98,7 @@
 
   private static List<Object> list(Node node, RecordComponent component, String name) {
     if (!(node instanceof SequenceNode sequence)) {
-      throw new Refused(node, "field '" + name + "' is no list");
+      throw new InvalidSetting(node, "field '" + name + "' is not a list");
     }
     ParameterizedType type = (ParameterizedType) component.getGenericType();
     Class<?> element = (Class<?>) type.getActualTypeArguments()[0];
@@ -114,15 +114,15 @@
       return read(node, type.asSubclass(Record.class), name + '.');
     }
     if (!(node instanceof ScalarNode scalar)) {
-      throw new Refused(node, "field '" + name + "' is no single value");
+      throw new InvalidSetting(node, "field '" + name + "' is not a single value");
     }
     if (scalar.getValue().isBlank()) {
-      throw new Refused(node, "field '" + name + "' is empty");
+      throw new InvalidSetting(node, "field '" + name + "' is empty");
     }
     try {
       return parse(scalar.getValue(), type);
     } catch (IllegalArgumentException e) {
-      throw new Refused(node, "field '" + name + "': " + e.getMessage());
+      throw new InvalidSetting(node, "field '" + name + "': " + e.getMessage());
     }
   }
 
@@ -140,7 +140,7 @@
     } else if (type == Boolean.class && (text.equals("true") || text.equals("false"))) {
       return Boolean.valueOf(text);
     }
-    throw new IllegalArgumentException("'" + text + "' is no " + type.getSimpleName());
+    throw new IllegalArgumentException("'" + text + "' is not a valid " + type.getSimpleName());
   }
 
   private static void checkRange(Node node, String name, long value, Setting setting) {
@@ -149,7 +149,8 @@
     }
     String unit = setting.unit().isEmpty() ? "" : " " + setting.unit();
     String allowed = setting.min() + " to " + setting.max() + unit;
-    throw new Refused(node, "field '" + name + "' is " + value + unit + ", allowed are " + allowed);
+    throw new InvalidSetting(
+        node, "field '" + name + "' is " + value + unit + ", allowed are " + allowed);
   }
 
   private static <T extends Record> T create(
@@ -159,7 +160,7 @@
     try {
       return type.getDeclaredConstructor(types).newInstance(values);
     } catch (InvocationTargetException e) {
-      throw new Refused(null, e.getCause().getMessage());
+      throw new InvalidSetting(null, e.getCause().getMessage());
     } catch (ReflectiveOperationException e) {
       throw new IllegalStateException("a settings record has no public constructor: " + type, e);
     }
--- a/server/src/main/java/org/streamcourse/process/settings/ServiceControllerSettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/ServiceControllerSettings.java
@@ -10,22 +10,22 @@
  * Settings file of a controller for services whose members register themselves.
  *
  * @param name name of this controller, for logs
- * @param region region in which it stands, or empty
- * @param zone zone in which it stands, unique among all regions, or empty
- * @param dataFolder folder for its files
- * @param calls where it accepts calls of operators and members
- * @param links where it accepts links of other processes
- * @param metrics where it serves metrics, or null
- * @param admin where it accepts operators, or null
+ * @param region region of the controller, or null
+ * @param zone zone of the controller, unique among all regions, or null
+ * @param dataFolder data folder of the process
+ * @param calls address of the HTTP port for calls of operators and members
+ * @param links address of the port for peer links
+ * @param metrics address of the metrics endpoint, or null
+ * @param admin address of the admin port, or null
  * @param operators users of the admin port
- * @param fleetKey secret of the fleet
+ * @param fleetKey secret shared by all processes of the fleet
  * @param controllerSeeds addresses of controllers
  * @param bootstrap whether an empty data folder belongs to a new fleet
- * @param lostMachines controllers that may be lost at once
- * @param limitWindowSeconds a tenant's limit holds in each span of this length
- * @param limitSlackShare part of a tenant's limit by which it may be exceeded
- * @param limitSlackOperations operations by which a tenant's limit may be exceeded besides
- * @param promotionAgent where the outside agent that changes primaries is called
+ * @param lostMachines number of controllers that may fail at the same time
+ * @param limitWindowSeconds length of the window in which a tenant's limit holds
+ * @param limitSlackShare fraction of a tenant's limit by which it may be exceeded
+ * @param limitSlackOperations operations by which a tenant's limit may be exceeded in addition
+ * @param promotionAgent address of the external agent that promotes members
  */
 public record ServiceControllerSettings(
     @Setting("Name of this controller, for logs.") String name,
@@ -81,7 +81,7 @@
   private static final int MIN_VOTERS = 3;
 
   /**
-   * Returns the number of voters wanted.
+   * Returns the target number of voters.
    *
    * @return at least 3
    */
@@ -90,18 +90,18 @@
   }
 
   /**
-   * Returns where the controller stands.
+   * Returns the region and zone of the controller.
    *
-   * @return placement, or null when it was not told
+   * @return placement, or null if region or zone is not set
    */
   public Placement placement() {
     return region == null || zone == null ? null : new Placement(region, zone);
   }
 
   /**
-   * Returns how limits of tenants are counted.
+   * Returns the settings for tenant limits.
    *
-   * @return window, and by how much a limit may be exceeded
+   * @return window, and the slack by which a limit may be exceeded
    */
   public QuotaSettings quotas() {
     return new QuotaSettings(
--- a/server/src/main/java/org/streamcourse/process/settings/Setting.java
+++ b/server/src/main/java/org/streamcourse/process/settings/Setting.java
@@ -5,40 +5,40 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** Describes a field of a settings file; the reference page is made from it. */
+/** Describes a field of a settings file; the reference page is generated from it. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Setting {
   /**
-   * What the field is for.
+   * Returns the purpose of the field.
    *
    * @return one sentence
    */
   String value();
 
   /**
-   * Unit of the value.
+   * Returns the unit of the value.
    *
-   * @return unit, empty for none
+   * @return unit, empty if there is none
    */
   String unit() default "";
 
   /**
-   * Value when the field is left out.
+   * Returns the default value.
    *
-   * @return default, empty when the field is required
+   * @return default, empty if the field is required
    */
   String fallback() default "";
 
   /**
-   * Least value of a number.
+   * Returns the smallest valid number.
    *
    * @return minimum
    */
   long min() default Long.MIN_VALUE;
 
   /**
-   * Greatest value of a number.
+   * Returns the largest valid number.
    *
    * @return maximum
    */
--- a/server/src/main/java/org/streamcourse/process/settings/SettingsReader.java
+++ b/server/src/main/java/org/streamcourse/process/settings/SettingsReader.java
@@ -16,9 +16,9 @@
 import org.yaml.snakeyaml.resolver.Resolver;
 
 /**
- * Reads a YAML settings file into a record. Unknown fields, values of another type, missing
- * required fields and numbers out of range are refused; the error names the file, the line where
- * the parser knows it, and the field.
+ * Reads a YAML settings file into a record. Unknown fields, values of a wrong type, missing
+ * required fields and numbers out of range are errors; the message names the file, the field and,
+ * if the parser knows it, the line.
  */
 public final class SettingsReader {
   private SettingsReader() {}
@@ -29,21 +29,21 @@
    * @param file path of the file
    * @param type record that describes its fields
    * @param <T> type of the settings
-   * @return checked settings with all defaults filled in
+   * @return validated settings with all defaults filled in
    */
   public static <T extends Record> T read(Path file, Class<T> type) {
     String text;
     try {
       text = Files.readString(file);
     } catch (IOException e) {
-      throw invalid(file, "can't be read: " + e, e);
+      throw invalid(file, "can't read the file: " + e, e);
     }
     if (text.isBlank()) {
       throw invalid(file, "has no fields", null);
     }
     try {
       return RecordMapping.read(compose(text), type, "");
-    } catch (RecordMapping.Refused e) {
+    } catch (RecordMapping.InvalidSetting e) {
       throw invalid(file, e.getMessage(), e);
     } catch (MarkedYAMLException e) {
       String problem = e.getProblem() == null ? e.getContext() : e.getProblem();
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Reads a YAML text into nodes, which know their lines. */
+  /** Parses a YAML text into nodes, which carry their line numbers. */
   static Node compose(String text) {
     LoaderOptions options = new LoaderOptions();
     ParserImpl parser = new ParserImpl(new StreamReader(text), options);
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Lists the fields of a settings record for the reference page.
+   * Describes the fields of a settings record for the reference page.
    *
    * @param type record that describes the fields
    * @return lines of a Markdown table
--- a/server/src/main/java/org/streamcourse/process/settings/SettingsWatch.java
+++ b/server/src/main/java/org/streamcourse/process/settings/SettingsWatch.java
@@ -7,25 +7,25 @@
 import java.util.Timer;
 import java.util.TimerTask;
 
-/** Notices a settings file that changes without a signal. */
+/** Polls the modification time of a settings file and runs an action when it changes. */
 public final class SettingsWatch extends TimerTask {
   private static final long PERIOD_MILLIS = 3_000;
 
   private final Path file;
   private final Runnable changed;
-  private FileTime seen;
+  private FileTime lastSeen;
 
   private SettingsWatch(Path file, Runnable changed) {
     this.file = file;
     this.changed = changed;
-    this.seen = lastModified();
+    this.lastSeen = lastModified();
   }
 
   /**
-   * Looks at a file regularly, on a thread of its own, as long as the process runs.
+   * Starts a daemon thread that polls the file every 3 s until the process exits.
    *
    * @param file settings file
-   * @param changed runs after each change that is seen
+   * @param changed action that runs after each detected change
    */
   public static void start(Path file, Runnable changed) {
     Timer timer = new Timer("settings-watch", true);
@@ -36,16 +36,16 @@
     try {
       return Files.getLastModifiedTime(file);
     } catch (IOException e) {
-      // The file is being replaced; the next look sees the new one.
-      return seen;
+      // The file is being replaced; the next poll finds the new one.
+      return lastSeen;
     }
   }
 
   @Override
   public void run() {
     FileTime now = lastModified();
-    if (now != null && !now.equals(seen)) {
-      seen = now;
+    if (now != null && !now.equals(lastSeen)) {
+      lastSeen = now;
       changed.run();
     }
   }
--- a/server/src/main/java/org/streamcourse/process/settings/StatementProxySettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/StatementProxySettings.java
@@ -8,21 +8,21 @@
  * Settings file of a proxy for services whose members register themselves.
  *
  * @param name name of this node, for logs
- * @param region region in which it stands
- * @param zone zone in which it stands
- * @param sessions where it accepts callers
- * @param readiness where it tells whether it is ready
- * @param links where it accepts links of other processes
- * @param metrics where it serves metrics, or null
- * @param fleetKey secret of the fleet
+ * @param region region of the node
+ * @param zone zone of the node, unique among all regions
+ * @param sessions address of the port for callers
+ * @param readiness address of the HTTP port that reports readiness
+ * @param links address of the port for peer links
+ * @param metrics address of the metrics endpoint, or null
+ * @param fleetKey secret shared by all processes of the fleet
  * @param controllerSeeds addresses of controllers
  * @param controllerLinkPort port at which controllers accept links
- * @param graceSeconds time that a stop may take
- * @param revocationMillis time after which a key that was taken away must not count here although
- *     this node has not heard of it, or null where it may count until the node hears of it
- * @param limitWindowSeconds a tenant's limit holds in each span of this length
- * @param linesPerSecond bound of its log
- * @param sampleEvery of how many statements one is logged
+ * @param graceSeconds longest duration of a planned stop
+ * @param revocationMillis time after which a revoked key must be refused even if this node has not
+ *     received the revocation, or null if the key is accepted until the node receives it
+ * @param limitWindowSeconds length of the window in which a tenant's limit holds
+ * @param linesPerSecond limit on log lines about statements
+ * @param sampleEvery one of this many completed statements is logged, 0 for none
  */
 public record StatementProxySettings(
     @Setting("Name of this node, for logs.") String name,
@@ -76,9 +76,9 @@
             max = 1_000_000)
         Integer sampleEvery) {
   /**
-   * Returns how limits of tenants are counted.
+   * Returns the settings for tenant limits.
    *
-   * @return window
+   * @return window, without slack
    */
   public QuotaSettings quotas() {
     return new QuotaSettings(TimeUnit.SECONDS.toMillis(limitWindowSeconds), 0, 0);
--- a/server/src/main/java/org/streamcourse/process/settings/package-info.java
+++ b/server/src/main/java/org/streamcourse/process/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings files: their fields with units, defaults and checks, and reading them. */
+/** Settings files: fields with units, defaults and valid ranges, and the parser. */
 package org.streamcourse.process.settings;
--- a/server/src/test/java/org/streamcourse/process/settings/SettingsReaderTest.java
+++ b/server/src/test/java/org/streamcourse/process/settings/SettingsReaderTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Settings files: defaults, and refusals that name file, line and field. */
+/** Tests defaults of settings files, and errors that name the file, line and field. */
 public class SettingsReaderTest {
   private static final String VALID =
       """
@@ -57,12 +57,13 @@
       {VALID.replace("name: c1\n", "name: null\n"), "", "'name' is missing"},
       {VALID.replace("name: c1\n", "name: [c1]\n"), "line 1", "'name'"},
       {VALID.replace("links: 127.0.0.1:7001", "links: 127.0.0.1:x"), "line 3", "'links'"},
-      {VALID + "routes: here\n", "line 10", "'routes' is no list"},
+      {VALID + "routes: here\n", "line 10", "'routes' is not a list"},
     };
   }
 
   @Test(dataProvider = "mistakes")
-  public void refusesWithPlaceAndField(String text, String place, String field) throws IOException {
+  public void errorNamesFileLineAndField(String text, String line, String field)
+      throws IOException {
     Path file = file(text);
     StreamcourseException error =
         expectThrows(
@@ -70,7 +71,7 @@
     assertEquals(error.code(), ErrorCode.INVALID_SETTINGS);
     String message = error.getMessage();
     assertTrue(message.contains(file.getFileName().toString()), message);
-    assertTrue(message.contains(place), message);
+    assertTrue(message.contains(line), message);
     assertTrue(message.contains(field), message);
   }
 
@@ -110,18 +111,18 @@
   }
 
   @Test(dataProvider = "wrongValues")
-  public void refusesWrongValues(String line, String place, String field) throws IOException {
-    Path file = file(PROXY + line);
+  public void refusesWrongValues(String setting, String line, String field) throws IOException {
+    Path file = file(PROXY + setting);
     StreamcourseException error =
         expectThrows(
             StreamcourseException.class,
             () -> SettingsReader.read(file, StatementProxySettings.class));
-    assertTrue(error.getMessage().contains(place), error.getMessage());
+    assertTrue(error.getMessage().contains(line), error.getMessage());
     assertTrue(error.getMessage().contains(field), error.getMessage());
   }
 
   @Test
-  public void readsJsonToo() throws IOException {
+  public void readsJson() throws IOException {
     String json =
         "{\"name\":\"e1\",\"region\":\"r\",\"zone\":\"z\",\"sessions\":\"127.0.0.1:1\","
             + "\"readiness\":\"127.0.0.1:2\",\"links\":\"127.0.0.1:3\",\"fleetKey\":\"k\","
