--- a/server/src/main/java/org/streamcourse/process/AdminPort.java
+++ b/server/src/main/java/org/streamcourse/process/AdminPort.java
@@ -11,7 +11,7 @@
 import org.streamcourse.process.settings.HostPort;
 import reactor.netty.resources.LoopResources;
 
-/** Where a controller accepts operators (PostgreSQL protocol). */
+/** Opens the port at which a controller accepts operators (PostgreSQL protocol). */
 final class AdminPort {
   private static final long LOGIN_TIMEOUT_MILLIS = 10_000;
   private static final int MAX_STATEMENT_BYTES = 1024 * 1024;
--- a/server/src/main/java/org/streamcourse/process/CallerPort.java
+++ b/server/src/main/java/org/streamcourse/process/CallerPort.java
@@ -13,7 +13,7 @@
 import reactor.netty.resources.LoopResources;
 import reactor.netty.tcp.TcpServer;
 
-/** A TCP port that speaks the PostgreSQL protocol, for callers or operators. */
+/** A TCP server for the PostgreSQL protocol, for callers or operators. */
 final class CallerPort {
   private static final int ACCEPT_BACKLOG = 1_024;
 
--- a/server/src/main/java/org/streamcourse/process/ControllerAddresses.java
+++ b/server/src/main/java/org/streamcourse/process/ControllerAddresses.java
@@ -5,21 +5,19 @@
 import org.streamcourse.connection.peer.PeerAddress;
 import org.streamcourse.process.settings.HostPort;
 
-/**
- * Names of processes that are their link addresses, so that a name is all it takes to reach one.
- */
+/** Names processes by the address of their peer link port, so that a name suffices to connect. */
 final class ControllerAddresses {
-  /** Silence of a peer that was written to, after which a link to it counts as stuck. */
-  static final Duration LINK_SILENCE = Duration.ofMillis(1_000);
+  /** A link is considered stuck if its peer sends nothing for this long after a write. */
+  static final Duration LINK_TIMEOUT = Duration.ofMillis(1_000);
 
   private ControllerAddresses() {}
 
-  /** Names of the controllers at the hosts of some addresses. */
+  /** Returns the names of the controllers at the hosts of the given addresses. */
   static List<String> names(List<HostPort> seeds, int linkPort) {
     return seeds.stream().map(seed -> new HostPort(seed.host(), linkPort).toString()).toList();
   }
 
-  /** Address of a process by its name; null when the name is no address. */
+  /** Parses the name of a process as its address; null if the name is not an address. */
   static PeerAddress addressOf(String name) {
     try {
       HostPort address = HostPort.parse(name);
--- a/server/src/main/java/org/streamcourse/process/ControllerNode.java
+++ b/server/src/main/java/org/streamcourse/process/ControllerNode.java
@@ -24,11 +24,11 @@
 import org.streamcourse.version.control.ServiceCallRouter;
 
 /**
- * A controller without its sockets. The controller process, the simulator and the scale run all use
- * this class.
+ * A controller without its sockets, used by the controller process, the simulator and the scale
+ * run.
  *
- * <p>An empty data folder means a lost disk: the controller takes a new identity and asks to join
- * as a learner. Only an explicit bootstrap makes it one of the first voters.
+ * <p>An empty data folder is treated as a lost disk: the controller takes a new identity and
+ * requests to join as a learner. Only an explicit bootstrap makes it one of the first voters.
  */
 public final class ControllerNode implements PeerHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
@@ -45,18 +45,18 @@
   private volatile List<String> controllers;
 
   /**
-   * Opens the log and wires a controller.
+   * Opens the log and creates a controller.
    *
    * @param name name of this controller
    * @param controllers names of all controllers
    * @param bootstrap whether an empty data folder belongs to a new fleet
-   * @param worker worker of the controller
-   * @param network way to other processes
+   * @param worker worker that runs the controller
+   * @param network sends messages to other processes
    * @param disk data folder
-   * @param codec codec that knows all messages
-   * @param agreementSettings timing of the agreement
+   * @param codec codec for all message types
+   * @param agreementSettings timing of the consensus protocol
    * @param controlSettings timing of the control plane
-   * @param random source of election timeouts and identities
+   * @param random random source for election timeouts and identities
    */
   public ControllerNode(
       String name,
@@ -84,19 +84,19 @@
   }
 
   /**
-   * Opens the log and wires a controller that has an outside agent for changes of primary.
+   * Opens the log and creates a controller with an external agent that promotes members.
    *
    * @param name name of this controller
    * @param controllers names of all controllers
    * @param bootstrap whether an empty data folder belongs to a new fleet
-   * @param worker worker of the controller
-   * @param network way to other processes
+   * @param worker worker that runs the controller
+   * @param network sends messages to other processes
    * @param disk data folder
-   * @param codec codec that knows all messages
-   * @param agreementSettings timing of the agreement
+   * @param codec codec for all message types
+   * @param agreementSettings timing of the consensus protocol
    * @param controlSettings timing of the control plane
-   * @param random source of election timeouts and identities
-   * @param agents the outside that is called for self-registering services
+   * @param random random source for election timeouts and identities
+   * @param agents external agents for self-registering services
    */
   public ControllerNode(
       String name,
@@ -117,7 +117,7 @@
     ControllerStateMachine machine = new ControllerStateMachine(codec);
     RecordLog log = RecordLog.open(disk, codec);
     if (log.quorumState() == null) {
-      giveIdentity(log, name, controllers, bootstrap, machine, random);
+      initializeIdentity(log, name, controllers, bootstrap, machine, random);
     }
     agreement =
         new AgreementNode(
@@ -134,7 +134,7 @@
     serviceCalls = new ServiceCallRouter(worker, network, controller);
   }
 
-  private static void giveIdentity(
+  private static void initializeIdentity(
       RecordLog log,
       String name,
       List<String> controllers,
@@ -149,34 +149,35 @@
     }
     String disk = Long.toHexString(random.nextLong());
     log.saveQuorumState(new QuorumState(VoterSet.identity(name, disk), 0, ""));
-    LOG.info("empty data folder: joins under the new identity {}", VoterSet.identity(name, disk));
+    LOG.info(
+        "data folder is empty; joining with the new identity {}", VoterSet.identity(name, disk));
   }
 
-  /** Starts taking part. */
+  /** Starts the controller and its requests to join. */
   public void start() {
     worker.execute(
         () -> {
           controller.start();
-          askToJoin();
+          requestJoin();
         });
   }
 
-  /** Stops taking part. */
+  /** Stops the controller. */
   public void stop() {
     worker.execute(controller::stop);
   }
 
   /**
-   * Takes in the platform's list of machines.
+   * Processes the platform's list of machines.
    *
-   * @param leaving addresses of the machines that it calls leaving
+   * @param leaving addresses of the machines in state "leaving"
    */
   public void onPlatformList(Set<String> leaving) {
     worker.execute(() -> controller.onPlatformList(leaving));
   }
 
   /**
-   * Returns the controller's decision part.
+   * Returns the controller's decision logic.
    *
    * @return controller
    */
@@ -185,7 +186,7 @@
   }
 
   /**
-   * Returns the way of operators' statements.
+   * Returns the router for operators' statements.
    *
    * @return router
    */
@@ -194,7 +195,7 @@
   }
 
   /**
-   * Returns the way of calls from operators and members.
+   * Returns the router for calls from operators and members.
    *
    * @return router
    */
@@ -203,28 +204,28 @@
   }
 
   /**
-   * Changes the controllers that are asked for admission.
+   * Replaces the list of controllers to which join requests are sent.
    *
    * @param names names of controllers
    */
-  public void learnControllers(List<String> names) {
+  public void setControllers(List<String> names) {
     controllers = List.copyOf(names);
   }
 
   /**
-   * Asks all other controllers until the leader has admitted this identity, and again when no
-   * leader is heard, since the others may have replaced this controller meanwhile.
+   * Sends join requests to all other controllers until the leader has admitted this identity, and
+   * again whenever no leader is known, since the other controllers may have removed this one.
    */
-  private void askToJoin() {
+  private void requestJoin() {
     boolean member = agreement.voters().all().contains(agreement.identity());
     if (!member || agreement.leader().isEmpty()) {
-      Set<String> asked = new TreeSet<>(controllers);
-      agreement.voters().all().forEach(each -> asked.add(VoterSet.nameOf(each)));
-      asked.remove(name);
+      Set<String> recipients = new TreeSet<>(controllers);
+      agreement.voters().all().forEach(each -> recipients.add(VoterSet.nameOf(each)));
+      recipients.remove(name);
       JoinRequest request = new JoinRequest(agreement.identity(), 0);
-      asked.forEach(other -> network.send(other, new ControlMessage.JoinEnvelope(request)));
+      recipients.forEach(other -> network.send(other, new ControlMessage.JoinEnvelope(request)));
     }
-    worker.schedule(JOIN_RETRY_MILLIS, this::askToJoin);
+    worker.schedule(JOIN_RETRY_MILLIS, this::requestJoin);
   }
 
   @Override
@@ -247,6 +248,6 @@
 
   @Override
   public void linkLost(String peer) {
-    // Heartbeats and answers that fail to come tell the same.
+    // Missing heartbeats and replies reveal a lost link.
   }
 }
--- a/server/src/main/java/org/streamcourse/process/ControllerProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ControllerProcess.java
@@ -19,7 +19,7 @@
 import org.streamcourse.version.control.ControlSettings;
 import reactor.netty.resources.LoopResources;
 
-/** The process of a controller: its node with sockets, disk and threads. */
+/** A controller process: a {@link ControllerNode} with sockets, disk and threads. */
 public final class ControllerProcess {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerProcess.class);
   private static final Duration LOOPS_STOP = Duration.ofSeconds(2);
@@ -36,13 +36,13 @@
   private final MetricsEndpoint metrics = new MetricsEndpoint();
   private final Map<String, HostPort> routes;
 
-  /** Addresses that nodes told in their heartbeats, also of nodes not yet admitted. */
-  private final Map<String, PeerAddress> heardNodes = new ConcurrentHashMap<>();
+  /** Addresses from nodes' heartbeats, including those of nodes that are not admitted yet. */
+  private final Map<String, PeerAddress> nodeAddresses = new ConcurrentHashMap<>();
 
   private CallerPort adminPort;
 
   /**
-   * Wires the process.
+   * Creates the process's components.
    *
    * @param settings checked settings
    * @param bootstrap whether an empty data folder belongs to a new fleet
@@ -60,7 +60,7 @@
             new FleetKey(settings.fleetKey()),
             loops,
             this::addressOf,
-            ProxyProcess.LINK_SILENCE);
+            ProxyProcess.LINK_TIMEOUT);
     disk = new FolderDisk(Path.of(settings.dataFolder()));
     node =
         new ControllerNode(
@@ -77,16 +77,18 @@
     platformList = new PlatformList(workers.get(), node::onPlatformList);
     metrics.gauge(
         "streamcourse_leader",
-        "1 while this controller leads.",
+        "1 while this controller is the leader, else 0.",
         () -> node.controller().agreement().isLeader() ? 1 : 0);
     metrics.gauge(
         "streamcourse_commit_index",
-        "Last committed entry.",
+        "Index of the last committed log entry.",
         () -> node.controller().agreement().commitIndex());
     metrics.linkTraffic(network.traffic());
-    metrics.gauge("streamcourse_link_sent_bytes", "Bytes sent on links.", network::sentBytes);
+    metrics.gauge("streamcourse_link_sent_bytes", "Bytes sent on peer links.", network::sentBytes);
     metrics.gauge(
-        "streamcourse_link_received_bytes", "Bytes received on links.", network::receivedBytes);
+        "streamcourse_link_received_bytes",
+        "Bytes received on peer links.",
+        network::receivedBytes);
   }
 
   private PeerAddress addressOf(String peer) {
@@ -94,10 +96,10 @@
     if (route == null) {
       route = CommonSettings.addressOf(settings.controllers(), peer);
     }
-    return route == null ? heardNodes.get(peer) : new PeerAddress(route.host(), route.port());
+    return route == null ? nodeAddresses.get(peer) : new PeerAddress(route.host(), route.port());
   }
 
-  /** Starts all parts. */
+  /** Starts all components. */
   public void start() {
     network.start(settings.links().host(), settings.links().port(), new AddressLearner());
     node.start();
@@ -108,25 +110,25 @@
     LOG.info("controller {} accepts operators at {}", settings.name(), settings.admin());
   }
 
-  /** Stops all parts; the log is synced at all times. */
+  /** Stops all components. The log needs no flush, since every append is synced. */
   public void stop() {
     platformList.stop();
     node.stop();
     adminPort.stop();
     metrics.stop();
     network.stop();
-    // Workers first: what they still send would keep the event loops from coming to rest.
+    // Workers stop first: messages that they still send would delay the event loops' shutdown.
     workers.stop();
     loops.disposeLater(Duration.ZERO, LOOPS_STOP).onErrorComplete().block();
     disk.close();
   }
 
-  /** Learns the addresses of nodes before their messages are handled. */
+  /** Records the address of a node from its heartbeat before the message is handled. */
   private final class AddressLearner implements PeerHandler {
     @Override
     public void receive(String peer, Object message) {
       if (message instanceof NodeHeartbeat heartbeat) {
-        heardNodes.put(peer, new PeerAddress(heartbeat.node().host(), heartbeat.node().port()));
+        nodeAddresses.put(peer, new PeerAddress(heartbeat.node().host(), heartbeat.node().port()));
       }
       node.receive(peer, message);
     }
--- a/server/src/main/java/org/streamcourse/process/Disk.java
+++ b/server/src/main/java/org/streamcourse/process/Disk.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Files of one data folder. A write counts as durable only after the call that synced it returned.
- * The simulator replaces this interface by a disk that loses or tears what was not synced.
+ * The files of one data folder. A write is durable only after the call that syncs it has returned.
+ * The simulator implements this interface with a disk that loses or tears unsynced writes.
  */
 public interface Disk {
   /**
-   * Tells whether anything is found again, so that it is worth being encoded.
+   * Returns whether stored files survive a restart. If not, callers need not encode data.
    *
    * @return false for a process without a data folder
    */
-  default boolean keeps() {
+  default boolean isPersistent() {
     return true;
   }
 
@@ -35,12 +35,12 @@
    * Appends to a file and syncs it; on return the bytes are durable.
    *
    * @param name file name; created when missing
-   * @param bytes what to append
+   * @param bytes bytes to append
    */
   void appendAndSync(String name, byte[] bytes);
 
   /**
-   * Replaces a file as a whole; after a crash either the old or the new content is found.
+   * Replaces a file as a whole; after a crash the file has either the old or the new content.
    *
    * @param name file name
    * @param bytes new content
@@ -48,7 +48,7 @@
   void replace(String name, byte[] bytes);
 
   /**
-   * Deletes a file; no error when it is missing.
+   * Deletes a file; a missing file is not an error.
    *
    * @param name file name
    */
--- a/server/src/main/java/org/streamcourse/process/FleetKey.java
+++ b/server/src/main/java/org/streamcourse/process/FleetKey.java
@@ -6,11 +6,11 @@
 import java.util.Arrays;
 
 /**
- * Secret shared by all processes of a fleet; signs texts with HMAC-SHA-256 (RFC 2104).
+ * Secret shared by all processes of a fleet; signs texts with truncated HMAC-SHA-256 (RFC 2104).
  *
- * <p>The two hashes are made with a plain digest: {@code javax.crypto.Mac} loads and verifies the
- * cryptographic providers first, 70 ms of processor time of a cold process on a busy machine, not
- * 18, between a proxy's start and its first word with a controller.
+ * <p>The HMAC is computed with a plain digest, because {@code javax.crypto.Mac} first loads and
+ * verifies the cryptographic providers. On a busy machine that takes 70 ms of CPU time instead of
+ * 18 ms, between a proxy's start and its first message to a controller.
  */
 public final class FleetKey {
   private static final String ALGORITHM = "SHA-256";
@@ -25,7 +25,7 @@
   /**
    * Creates a key.
    *
-   * @param secret secret text of any length but 0
+   * @param secret non-empty secret
    */
   public FleetKey(String secret) {
     byte[] bytes = secret.getBytes(StandardCharsets.UTF_8);
@@ -55,7 +55,7 @@
   /**
    * Signs a text.
    *
-   * @param text what to sign
+   * @param text text to sign
    * @return signature
    */
   public byte[] sign(String text) {
@@ -66,9 +66,9 @@
   /**
    * Checks a signature in constant time.
    *
-   * @param text what was signed
+   * @param text text that was signed
    * @param signature signature to check
-   * @return true when it was made with this key
+   * @return true if the signature was made with this key
    */
   public boolean verifies(String text, byte[] signature) {
     return MessageDigest.isEqual(sign(text), signature);
--- a/server/src/main/java/org/streamcourse/process/FolderDisk.java
+++ b/server/src/main/java/org/streamcourse/process/FolderDisk.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** A data folder on a real disk; keeps files open for appending. */
+/** A data folder in the file system; keeps files open for appending. */
 public final class FolderDisk implements Disk, AutoCloseable {
   private static final String TEMPORARY_SUFFIX = ".tmp";
 
--- a/server/src/main/java/org/streamcourse/process/Frames.java
+++ b/server/src/main/java/org/streamcourse/process/Frames.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** Frames {@code length, CRC32C, payload} in files that are appended to. */
+/** Encodes and decodes frames {@code length, CRC32C, payload} of append-only files. */
 public final class Frames {
   /** Bytes before the payload. */
   public static final int HEADER_BYTES = 8;
@@ -11,7 +11,7 @@
   private Frames() {}
 
   /**
-   * Puts a payload into a frame.
+   * Encodes a payload as a frame.
    *
    * @param payload at least one byte
    * @return the frame
@@ -25,10 +25,10 @@
   }
 
   /**
-   * Reads one frame; the position is undefined afterwards when it is not whole.
+   * Reads one frame. If the frame is incomplete, the buffer's position is undefined afterwards.
    *
-   * @param buffer stands at the frame's start
-   * @return its payload, or null when it is torn or damaged
+   * @param buffer buffer positioned at the start of a frame
+   * @return payload, or null if the frame is truncated or its checksum is wrong
    */
   public static byte[] read(ByteBuffer buffer) {
     if (buffer.remaining() < HEADER_BYTES) {
--- a/server/src/main/java/org/streamcourse/process/LazySerializer.java
+++ b/server/src/main/java/org/streamcourse/process/LazySerializer.java
@@ -6,9 +6,9 @@
 import com.esotericsoftware.kryo.io.Output;
 
 /**
- * Creates the serializer of a type with the first instance. A process uses a few of the types that
- * it knows; creating the serializers of all of them costs a process that starts 13 to 19 ms of
- * processor time before its first message (on a cold process, three runs each way).
+ * Creates the serializer of a type on its first use. A process uses few of its registered types,
+ * and creating the serializers of all types at the start takes 13 to 19 ms of CPU time before the
+ * first message.
  */
 final class LazySerializer extends Serializer<Object> {
   private final Class<?> type;
--- a/server/src/main/java/org/streamcourse/process/LineBudget.java
+++ b/server/src/main/java/org/streamcourse/process/LineBudget.java
@@ -3,8 +3,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Bounds the log lines of a process. Lines beyond the budget of a second are counted and told in
- * one line of the next second. Safe from any thread.
+ * Limits the log lines of a process per second. Lines over the limit are dropped and counted; the
+ * count is logged in one line of the next second. Thread-safe.
  */
 public final class LineBudget {
   private static final long SECOND_MILLIS = 1_000;
@@ -14,12 +14,12 @@
   private long secondStartedMillis;
   private int used;
   private long dropped;
-  private long droppedInAll;
+  private long totalDropped;
 
   /**
    * Creates a budget.
    *
-   * @param linesPerSecond most lines in a second
+   * @param linesPerSecond maximum number of lines per second
    * @param clockMillis monotonic clock in milliseconds
    */
   public LineBudget(int linesPerSecond, LongSupplier clockMillis) {
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Takes a line.
+   * Requests permission to log a line.
    *
-   * @return false when the line must be dropped
+   * @return false if the line must be dropped
    */
   public synchronized boolean take() {
     long now = clockMillis.getAsLong();
@@ -40,7 +40,7 @@
     }
     if (used >= linesPerSecond) {
       dropped++;
-      droppedInAll++;
+      totalDropped++;
       return false;
     }
     used++;
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Returns the lines dropped since the last call.
+   * Returns the number of lines dropped since the last call.
    *
-   * @return count to be told in a line of its own
+   * @return count, to be logged in a line of its own
    */
   public synchronized long takeDropped() {
     long count = dropped;
@@ -59,11 +59,11 @@
   }
 
   /**
-   * Returns all dropped lines.
+   * Returns the total number of dropped lines.
    *
-   * @return count since the start
+   * @return count since the process started
    */
-  public synchronized long droppedInAll() {
-    return droppedInAll;
+  public synchronized long totalDropped() {
+    return totalDropped;
   }
 }
--- a/server/src/main/java/org/streamcourse/process/MessageCodec.java
+++ b/server/src/main/java/org/streamcourse/process/MessageCodec.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Turns typed messages and stored records into bytes with Kryo. Only registered types are taken;
- * their numbers are fixed by their place in the given lists, which only ever grow at the end.
+ * Encodes messages and stored records with Kryo. Only registered types are accepted. A type's
+ * number is determined by its index in the list of types, so new types may only be appended.
  */
 public final class MessageCodec {
   private static final int FIRST_TYPE_NUMBER = 100;
@@ -24,7 +24,7 @@
   /**
    * Creates a codec.
    *
-   * @param types message types in the order that numbers them
+   * @param types message types in the order of their numbers
    */
   public MessageCodec(List<Class<?>> types) {
     this.types = List.copyOf(types);
@@ -46,7 +46,7 @@
   /**
    * Decodes an object.
    *
-   * @param bytes what {@link #encode} returned
+   * @param bytes result of {@link #encode}
    * @return the object
    */
   public Object decode(byte[] bytes) {
@@ -71,7 +71,7 @@
     int number = FIRST_TYPE_NUMBER;
     for (Class<?> type : types) {
       if (type.isEnum()) {
-        // Its own serializer writes what is missing in another form than others do.
+        // Kryo's enum serializer encodes null differently, so it must not be wrapped.
         kryo.register(type, number);
       } else {
         kryo.register(type, new LazySerializer(type), number);
--- a/server/src/main/java/org/streamcourse/process/MetricsEndpoint.java
+++ b/server/src/main/java/org/streamcourse/process/MetricsEndpoint.java
@@ -23,12 +23,12 @@
 public final class MetricsEndpoint {
   private static final int HTTP_OK = 200;
 
-  /** Labels of what is sent over links. */
+  /** Labels of peer link traffic. */
   private static final String KIND = "kind";
 
   private static final String DISTANCE = "distance";
 
-  /** Bounds of the histograms' buckets. */
+  /** Range of the histograms' buckets. */
   private static final Duration SHORTEST = Duration.ofMillis(1);
 
   private static final Duration LONGEST = Duration.ofSeconds(10);
@@ -44,20 +44,20 @@
   }
 
   /**
-   * Adds a value that is read at each scrape.
+   * Adds a gauge, which is read at each scrape.
    *
    * @param name metric's name
-   * @param help what it tells
-   * @param value reads the value
+   * @param help description of the metric
+   * @param value supplies the value
    */
   public void gauge(String name, String help, Supplier<Number> value) {
     Gauge.builder(name, value).description(help).register(registry);
   }
 
   /**
-   * Adds counters of what is sent over links, by kind of message and distance.
+   * Adds counters of traffic on peer links, by message kind and distance.
    *
-   * @param traffic counts it
+   * @param traffic traffic counters
    */
   public void linkTraffic(LinkTraffic traffic) {
     traffic.onNewCounter(this::linkCounter);
@@ -66,24 +66,24 @@
 
   private void linkCounter(LinkTraffic.Counter counter) {
     FunctionCounter.builder("streamcourse_peer_sent_bytes", counter, each -> (double) each.bytes())
-        .description("Bytes written to links, after compression.")
+        .description("Bytes written to peer links, after compression.")
         .tags(KIND, counter.kind(), DISTANCE, counter.distance().label())
         .register(registry);
     FunctionCounter.builder(
             "streamcourse_peer_sent_messages", counter, each -> (double) each.messages())
-        .description("Messages written to links.")
+        .description("Messages written to peer links.")
         .tags(KIND, counter.kind(), DISTANCE, counter.distance().label())
         .register(registry);
   }
 
   /**
-   * Adds a histogram of times.
+   * Adds a histogram of durations.
    *
    * @param name metric's name, without its unit
-   * @param help what it tells
+   * @param help description of the metric
    * @param tag name of a label
    * @param value the label's value
-   * @return takes times in milliseconds
+   * @return recorder for durations in milliseconds
    */
   public LongConsumer histogram(String name, String help, String tag, String value) {
     Timer timer =
@@ -98,9 +98,9 @@
   }
 
   /**
-   * Starts to serve.
+   * Starts the HTTP server.
    *
-   * @param address address to bind, or null to serve nothing
+   * @param address address to bind, or null to start no server
    */
   public void start(HostPort address) {
     if (address == null) {
@@ -125,7 +125,7 @@
     server.start();
   }
 
-  /** Stops serving. */
+  /** Stops the HTTP server. */
   public void stop() {
     if (server != null) {
       server.stop(0);
--- a/server/src/main/java/org/streamcourse/process/NoDisk.java
+++ b/server/src/main/java/org/streamcourse/process/NoDisk.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * The disk of a process without a data folder: it keeps nothing. Only for what may be lost, such as
- * a node's copy of the image, which its first confirmed heartbeat brings back.
+ * The disk of a process without a data folder; discards all writes. Suits only data that may be
+ * lost, such as a node's copy of the image, which the reply to its first confirmed heartbeat
+ * restores.
  */
 public final class NoDisk implements Disk {
   @Override
-  public boolean keeps() {
+  public boolean isPersistent() {
     return false;
   }
 
@@ -24,16 +25,16 @@
 
   @Override
   public void appendAndSync(String name, byte[] bytes) {
-    // Nothing is kept.
+    // Writes are discarded.
   }
 
   @Override
   public void replace(String name, byte[] bytes) {
-    // Nothing is kept.
+    // Writes are discarded.
   }
 
   @Override
   public void delete(String name) {
-    // Nothing is there.
+    // There are no files.
   }
 }
--- a/server/src/main/java/org/streamcourse/process/PlannedStop.java
+++ b/server/src/main/java/org/streamcourse/process/PlannedStop.java
@@ -7,24 +7,24 @@
 /**
  * The steps of a proxy's planned stop, the same in the process and in the simulator.
  *
- * <p>First the callers' sessions end, each between two requests. Then the node tells the
- * controllers that it leaves, and its allowances move to other nodes once its gateways' streams
- * have ended. At last it stays for as long as an edge may route by an older image, and refuses what
- * still arrives: an edge that hears "not run" tries elsewhere, while one that only loses its link
- * would have to call the outcome unknown.
+ * <p>First the callers' sessions end, each between two requests. Then the node reports to the
+ * controllers that it is draining, and its allowances move to other nodes once its gateways'
+ * streams have ended. Finally the node lingers for as long as an edge may route by an older image,
+ * and refuses requests that still arrive: an edge that receives "not run" retries at another node,
+ * while an edge that only loses its link must report the outcome as unknown.
  */
 public final class PlannedStop {
   private static final Logger LOG = LoggerFactory.getLogger(PlannedStop.class);
 
-  /** Time between two looks in milliseconds. */
+  /** Time between two calls of {@link #advance} in milliseconds. */
   public static final long POLL_MILLIS = 20;
 
   /**
-   * Longest time of each step in milliseconds.
+   * Time limit of each step in milliseconds.
    *
-   * @param drainMillis for callers' open transactions
-   * @param handoverMillis for moving the allowances
-   * @param lingerMillis for edges to learn of it
+   * @param drainMillis limit for callers' open transactions to end
+   * @param handoverMillis limit for moving the allowances to other nodes
+   * @param lingerMillis time for edges to receive an image without this node
    */
   public record Limits(long drainMillis, long handoverMillis, long lingerMillis) {}
 
@@ -42,12 +42,12 @@
   private long stepStartedAt;
 
   /**
-   * Begins a stop; the sessions have been told to drain.
+   * Begins a stop; the sessions must be draining already.
    *
-   * @param node node that stops
+   * @param node node to stop
    * @param sessionsEnded whether all callers' sessions have ended
-   * @param limits longest times
-   * @param now present time in milliseconds
+   * @param limits time limits of the steps
+   * @param now current time in milliseconds
    */
   public PlannedStop(ProxyNode node, BooleanSupplier sessionsEnded, Limits limits, long now) {
     this.node = node;
@@ -57,22 +57,22 @@
   }
 
   /**
-   * Takes the steps that are due; to be called every {@link #POLL_MILLIS}.
+   * Advances to the next step if it is due; must be called every {@link #POLL_MILLIS}.
    *
-   * @param now present time in milliseconds
-   * @return true once the process may end
+   * @param now current time in milliseconds
+   * @return true once the process may exit
    */
   public boolean advance(long now) {
     long elapsed = now - stepStartedAt;
     switch (step) {
       case DRAIN -> {
-        if (sessionsEnded.getAsBoolean() || isOver(elapsed, limits.drainMillis())) {
+        if (sessionsEnded.getAsBoolean() || isTimedOut(elapsed, limits.drainMillis())) {
           node.agent().leave();
           enter(Step.HANDOVER, now);
         }
       }
       case HANDOVER -> {
-        if (node.gateways().isDrained() || isOver(elapsed, limits.handoverMillis())) {
+        if (node.gateways().isDrained() || isTimedOut(elapsed, limits.handoverMillis())) {
           enter(Step.LINGER, now);
         }
       }
@@ -82,24 +82,24 @@
         }
       }
       case DONE -> {
-        // Nothing is left to do.
+        // The stop has finished.
       }
     }
     return step == Step.DONE;
   }
 
-  /** Whether a step ends though its work is not done, which may cut requests. */
-  private boolean isOver(long elapsed, long limitMillis) {
-    boolean over = elapsed >= limitMillis;
-    if (over) {
+  /** Returns whether a step has reached its time limit; ending it may interrupt requests. */
+  private boolean isTimedOut(long elapsed, long limitMillis) {
+    boolean timedOut = elapsed >= limitMillis;
+    if (timedOut) {
       LOG.warn(
-          "planned stop: {} is not done after {} ms; {} streams and {} gateways are left",
+          "planned stop: step {} timed out after {} ms; {} streams and gateways {} are still open",
           step,
           elapsed,
           node.gateways().openStreams(),
           node.gateways().gateways().keySet());
     }
-    return over;
+    return timedOut;
   }
 
   private void enter(Step next, long now) {
--- a/server/src/main/java/org/streamcourse/process/PlatformList.java
+++ b/server/src/main/java/org/streamcourse/process/PlatformList.java
@@ -17,9 +17,9 @@
 import reactor.core.Disposable;
 
 /**
- * Reads the platform's list of machines again and again, in the format of Prometheus' HTTP service
- * discovery: {@code [{"targets": ["IP:PORT"], "labels": {"state": "leaving"}}]}. Machines of other
- * states, and other labels, are passed over. While the list can't be read, the last one holds.
+ * Polls the platform's list of machines, in the format of Prometheus HTTP service discovery: {@code
+ * [{"targets": ["IP:PORT"], "labels": {"state": "leaving"}}]}. Machines in other states, and other
+ * labels, are ignored. While the list can't be read, the last list stays in use.
  */
 final class PlatformList {
   /** Path of the list at the platform's address. */
@@ -39,22 +39,23 @@
   private boolean readable = true;
 
   /**
-   * Whether an answer is awaited: one at a time, so that an older list can't come after a newer.
+   * Whether a response is outstanding. Only one request is sent at a time, so that an older list
+   * can't arrive after a newer one.
    */
-  private boolean asking;
+  private boolean requestPending;
 
   /**
    * Creates a reader.
    *
    * @param worker worker on which the listener is called
-   * @param listener hears each list: the addresses of the machines that leave
+   * @param listener receives the addresses of the machines in state "leaving" from each list
    */
   PlatformList(Worker worker, Consumer<Set<String>> listener) {
     this.worker = worker;
     this.listener = listener;
   }
 
-  /** Starts to read; an absent address means that there is no list. */
+  /** Starts to poll the list; does nothing if the address is null. */
   void start(HostPort address) {
     if (address == null) {
       return;
@@ -70,21 +71,22 @@
   }
 
   private void poll(HttpRequest request) {
-    if (asking) {
+    if (requestPending) {
       return;
     }
-    asking = true;
+    requestPending = true;
     client
         .sendAsync(request, HttpResponse.BodyHandlers.ofString())
-        .whenComplete((response, failure) -> worker.execute(() -> answered(response, failure)));
+        .whenComplete(
+            (response, failure) -> worker.execute(() -> handleResponse(response, failure)));
   }
 
-  private void answered(HttpResponse<String> response, Throwable failure) {
-    asking = false;
+  private void handleResponse(HttpResponse<String> response, Throwable failure) {
+    requestPending = false;
     if (failure != null) {
-      unreadable(failure.toString());
+      logFailure(failure.toString());
     } else if (response.statusCode() != OK) {
-      unreadable("status " + response.statusCode());
+      logFailure("status " + response.statusCode());
     } else {
       read(response.body());
     }
@@ -96,26 +98,26 @@
       readable = true;
       listener.accept(leaving);
     } catch (IOException e) {
-      unreadable(e.getMessage());
+      logFailure(e.getMessage());
     }
   }
 
   /**
-   * Finds the machines that leave.
+   * Finds the machines in state "leaving".
    *
-   * @param list the list
+   * @param list list of machines
    * @return their addresses
-   * @throws IOException when the list has another form; the message names the place
+   * @throws IOException if the list has another format; the message names the entry
    */
   static Set<String> parse(JsonNode list) throws IOException {
     if (!list.isArray()) {
-      throw new IOException("the list is no array");
+      throw new IOException("the list is not an array");
     }
     Set<String> leaving = new TreeSet<>();
     for (int i = 0; i < list.size(); i++) {
       JsonNode targets = list.get(i).path("targets");
       if (!targets.isArray()) {
-        throw new IOException("entry " + i + ": 'targets' is no array");
+        throw new IOException("entry " + i + ": 'targets' is not an array");
       }
       if (list.get(i).at("/labels/state").asText().equals(LEAVING)) {
         targets.forEach(target -> leaving.add(target.asText()));
@@ -124,11 +126,12 @@
     return leaving;
   }
 
-  /** Logs the first failure of a row of them. */
-  private void unreadable(String why) {
+  /** Logs the first of consecutive failures. */
+  private void logFailure(String why) {
     if (readable) {
       readable = false;
-      LOG.warn("the platform's list can't be read, the last one holds: {}", why);
+      LOG.warn(
+          "reading the platform's machine list failed; the last list read stays in use: {}", why);
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/process/ProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/ProxyNode.java
@@ -18,18 +18,18 @@
 import org.streamcourse.version.image.NodeImage;
 
 /**
- * A proxy node without its sockets: agent, gateways and edge wired together. The proxy process, the
- * simulator and the scale run all use this class.
+ * A proxy node without its sockets: its agent, gateways and edge. Used by the proxy process, the
+ * simulator and the scale run.
  */
 public final class ProxyNode implements PeerHandler {
   /**
    * Timing and limits of a proxy node.
    *
-   * @param control control timing
-   * @param gateway gateway timing
-   * @param pool pool settings
-   * @param edge edge timing
-   * @param policy how reads are spread
+   * @param control timing of the control plane
+   * @param gateway timing of the gateways
+   * @param pool settings of the connection pools
+   * @param edge timing of the edge
+   * @param policy policy that chooses the member for a read
    */
   public record Settings(
       ControlSettings control,
@@ -37,7 +37,7 @@
       PoolSettings pool,
       EdgeSettings edge,
       ReadRouter.Policy policy) {
-    /** Values used when the settings file names none. */
+    /** Default values, used when the settings file sets none. */
     public static final Settings DEFAULT =
         new Settings(
             ControlSettings.DEFAULT,
@@ -53,19 +53,19 @@
   private final EdgeNode edge;
 
   /**
-   * Wires a node.
+   * Creates a node.
    *
-   * @param self the node
-   * @param workers gives workers to gateways
-   * @param agentWorker worker of the agent
-   * @param network way to other processes
+   * @param self image of this node
+   * @param workers supplies workers for gateways
+   * @param agentWorker worker that runs the agent
+   * @param network sends messages to other processes
    * @param disk data folder
-   * @param codec codec that knows all messages
+   * @param codec codec for all message types
    * @param controllers names of the controllers
    * @param connector opens connections to members
    * @param settings timing and limits
-   * @param fleetKey signs floors
-   * @param random source of jitter
+   * @param fleetKey key that signs floors
+   * @param random random source for jitter
    */
   public ProxyNode(
       NodeImage self,
@@ -104,7 +104,7 @@
             agentWorker, withLoopback, agent, settings.edge(), settings.policy(), fleetKey, random);
   }
 
-  /** Starts heartbeats and supervision. */
+  /** Starts the gateways, the edge and the agent's heartbeats. */
   public void start() {
     gateways.start();
     edge.start();
--- a/server/src/main/java/org/streamcourse/process/ProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ProxyProcess.java
@@ -30,25 +30,26 @@
 import org.streamcourse.version.image.Placement;
 import reactor.netty.resources.LoopResources;
 
-/** The process of a proxy: its node with sockets, disk and threads. */
+/** A proxy process: a {@link ProxyNode} with sockets, disk and threads. */
 public final class ProxyProcess {
   private static final Logger LOG = LoggerFactory.getLogger(ProxyProcess.class);
   private static final long LOGIN_TIMEOUT_MILLIS = 10_000;
   private static final long FLOOR_TIMEOUT_MILLIS = 4_000;
   private static final int MAX_QUEUED_BYTES = 1024 * 1024;
 
-  /** Longer than a pool may wait for a member to end its connections. */
+  /** Exceeds the time that a pool waits for a member to close its connections. */
   private static final long HANDOVER_MILLIS = PoolSettings.DEFAULT_END_GRACE_MILLIS + 5_000;
 
   private static final Duration LOOPS_STOP = Duration.ofSeconds(2);
   private static final int IO_THREADS = 4;
 
   /**
-   * Silence of a peer that was written to, after which a link to it counts as stuck and another one
-   * is opened. Longer than the silence of a gateway after which its streams are given up (3,500
-   * ms), so no stream is lost to it; nodes with open streams hear each other every 1,000 ms.
+   * A link is considered stuck, and a new one is opened, if its peer sends nothing for this long
+   * after a write. The value exceeds the time without messages after which an edge abandons a
+   * gateway's streams (3,500 ms), so replacing a link loses no stream; nodes with open streams
+   * exchange messages every 1,000 ms.
    */
-  static final Duration LINK_SILENCE =
+  static final Duration LINK_TIMEOUT =
       Duration.ofMillis(EdgeSettings.DEFAULT.gatewaySilenceMillis() + 500);
 
   private final ProxySettings settings;
@@ -63,7 +64,7 @@
   private CallerPort callers;
 
   /**
-   * Wires the process.
+   * Creates the process's components.
    *
    * @param settings checked settings
    */
@@ -74,7 +75,7 @@
     loops = LoopResources.create("io", IO_THREADS, false);
     MessageCodec codec = StreamTypes.codec();
     FleetKey key = new FleetKey(settings.fleetKey());
-    network = new TcpPeerNetwork(settings.name(), codec, key, loops, this::addressOf, LINK_SILENCE);
+    network = new TcpPeerNetwork(settings.name(), codec, key, loops, this::addressOf, LINK_TIMEOUT);
     Placement placement = new Placement(settings.region(), settings.zone());
     network.setPlacement(placement);
     NodeImage self =
@@ -133,7 +134,7 @@
   }
 
   /**
-   * Finds a read policy by the name used in settings.
+   * Returns the read policy with a given name in settings.
    *
    * @param name such as {@code nearest-fresh}
    * @return policy
@@ -146,7 +147,9 @@
           ErrorCode.INVALID_SETTINGS,
           "read-settings",
           "",
-          "field 'readPolicy': '" + name + "' is none of nearest-fresh, primary-only, round-robin",
+          "field 'readPolicy': '"
+              + name
+              + "' is not one of nearest-fresh, primary-only, round-robin",
           0,
           e);
     }
@@ -165,14 +168,14 @@
 
   private void addMetrics() {
     metrics.linkTraffic(network.traffic());
-    metrics.gauge("streamcourse_sessions", "Logged-in callers.", sessions::count);
+    metrics.gauge("streamcourse_sessions", "Sessions of logged-in callers.", sessions::count);
     metrics.gauge(
         "streamcourse_edge_streams",
-        "Requests and transactions that run.",
+        "Requests and transactions that are running.",
         node.edge()::openStreams);
     metrics.gauge(
         "streamcourse_gateway_streams",
-        "Streams of all edges at this node's gateways.",
+        "Open streams of all edges at this node's gateways.",
         node.gateways()::openStreams);
     metrics.gauge(
         "streamcourse_member_connections",
@@ -183,18 +186,22 @@
     metrics.gauge(
         "streamcourse_primary_reads", "Reads that primaries answered.", node.edge()::primaryReads);
     metrics.gauge(
-        "streamcourse_image_version", "Version in force.", () -> node.agent().image().version());
+        "streamcourse_image_version",
+        "Version of the image in force.",
+        () -> node.agent().image().version());
     metrics.gauge(
         "streamcourse_confirmed",
-        "1 while the controllers confirm this node.",
+        "1 while the controllers confirm this node, else 0.",
         () -> node.agent().isConfirmed() ? 1 : 0);
     metrics.gauge(
         "streamcourse_retries_denied",
-        "Retries that the budget did not allow.",
+        "Retries denied by the retry budget.",
         node.edge().retryBudget()::denied);
-    metrics.gauge("streamcourse_link_sent_bytes", "Bytes sent on links.", network::sentBytes);
+    metrics.gauge("streamcourse_link_sent_bytes", "Bytes sent on peer links.", network::sentBytes);
     metrics.gauge(
-        "streamcourse_link_received_bytes", "Bytes received on links.", network::receivedBytes);
+        "streamcourse_link_received_bytes",
+        "Bytes received on peer links.",
+        network::receivedBytes);
   }
 
   private PeerAddress addressOf(String peer) {
@@ -219,7 +226,7 @@
         : new PeerAddress(route.host(), route.port());
   }
 
-  /** Starts all parts. */
+  /** Starts all components. */
   public void start() {
     network.start(settings.links().host(), settings.links().port(), node);
     node.agent().setSessionCount(sessions::count);
@@ -230,8 +237,8 @@
   }
 
   /**
-   * Stops without cutting a request: callers are told as they become idle, the node's allowances
-   * move to other nodes, then everything closes.
+   * Stops without interrupting a request: callers' sessions end as they become idle, the node's
+   * allowances move to other nodes, then all components stop.
    */
   public void stop() {
     LOG.info("proxy {} is stopping", settings.name());
@@ -254,7 +261,7 @@
     metrics.stop();
     node.stop();
     network.stop();
-    // Workers first: what they still send would keep the event loops from coming to rest.
+    // Workers stop first: messages that they still send would delay the event loops' shutdown.
     workers.stop();
     loops.disposeLater(Duration.ZERO, LOOPS_STOP).onErrorComplete().block();
     LOG.info("proxy {} has stopped", settings.name());
--- a/server/src/main/java/org/streamcourse/process/SchedulerWorker.java
+++ b/server/src/main/java/org/streamcourse/process/SchedulerWorker.java
@@ -22,7 +22,7 @@
   /**
    * Creates a worker on the machine's monotonic clock.
    *
-   * @param scheduler pool of threads to take one from
+   * @param scheduler pool of threads of which one runs the worker
    * @return new worker
    */
   public static SchedulerWorker monotonic(Scheduler scheduler) {
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Creates a worker on the scheduler's own clock, as the simulator needs it.
+   * Creates a worker on the scheduler's clock, for the simulator.
    *
    * @param scheduler scheduler with a virtual clock
    * @return new worker
@@ -61,7 +61,7 @@
       try {
         task.run();
       } catch (RuntimeException e) {
-        LOG.error("task failed", e);
+        LOG.error("task on a worker failed", e);
       }
     };
   }
--- a/server/src/main/java/org/streamcourse/process/ServiceControllerProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ServiceControllerProcess.java
@@ -21,7 +21,7 @@
 import org.streamcourse.version.control.ServiceAgents;
 import org.streamcourse.version.control.ServiceCall;
 
-/** The process of a controller for services whose members register themselves. */
+/** A controller process for services whose members register themselves. */
 public final class ServiceControllerProcess {
   private static final Logger LOG = LoggerFactory.getLogger(ServiceControllerProcess.class);
   private static final Duration LOOP_STOP = Duration.ofMillis(200);
@@ -36,11 +36,11 @@
   private CallerPort adminPort;
 
   /**
-   * Wires the process.
+   * Creates the process's components.
    *
    * @param settings checked settings
    * @param loop event loop of the process
-   * @param promotionAgent makes members primary
+   * @param promotionAgent agent that promotes members
    * @param memberProtocol protocol of the members
    */
   public ServiceControllerProcess(
@@ -59,7 +59,7 @@
             new FleetKey(settings.fleetKey()),
             loop,
             ControllerAddresses::addressOf,
-            ControllerAddresses.LINK_SILENCE);
+            ControllerAddresses.LINK_TIMEOUT);
     network.setPlacement(settings.placement());
     disk = new FolderDisk(Path.of(settings.dataFolder()));
     node =
@@ -88,20 +88,25 @@
     MetricsEndpoint endpoint = new MetricsEndpoint();
     endpoint.gauge(
         "streamcourse_leader",
-        "1 while this controller leads.",
+        "1 while this controller is the leader, else 0.",
         () -> node.controller().agreement().isLeader() ? 1 : 0);
     endpoint.gauge(
         "streamcourse_commit_index",
-        "Last committed entry.",
+        "Index of the last committed log entry.",
         () -> node.controller().agreement().commitIndex());
     endpoint.gauge(
-        "streamcourse_image_version", "Agreed version.", () -> node.controller().image().version());
+        "streamcourse_image_version",
+        "Version of the agreed image.",
+        () -> node.controller().image().version());
     endpoint.linkTraffic(network.traffic());
-    endpoint.gauge("streamcourse_log_lines_lost", "Lines lost to a full queue.", LogQueue::lost);
+    endpoint.gauge(
+        "streamcourse_log_lines_lost",
+        "Log lines dropped because the queue was full.",
+        LogQueue::lost);
     return endpoint;
   }
 
-  /** Starts all parts. */
+  /** Starts all components. */
   public void start() {
     network.start(settings.links().host(), settings.links().port(), node);
     node.start();
@@ -116,27 +121,27 @@
   }
 
   /**
-   * Carries out a call of an operator or a member.
+   * Executes a call of an operator or a member.
    *
-   * @param call what is asked
-   * @param answer gets the outcome, at most once, on any thread
+   * @param call call to execute
+   * @param answer receives the result, at most once, on any thread
    */
   public void call(ServiceCall call, Consumer<ServiceCall.Result> answer) {
     node.serviceCalls().execute(call, answer);
   }
 
   /**
-   * Takes in changed settings; only other controllers are taken over while it runs.
+   * Applies changed settings. Only the list of controllers can change while the process runs.
    *
-   * @param changed settings read again
+   * @param changed new settings
    */
   public void reload(ServiceControllerSettings changed) {
-    LOG.info("settings read again: controllers {}", changed.controllerSeeds());
-    node.learnControllers(
+    LOG.info("settings reloaded: controllers {}", changed.controllerSeeds());
+    node.setControllers(
         ControllerAddresses.names(changed.controllerSeeds(), settings.links().port()));
   }
 
-  /** Stops all parts; the log is synced at all times. */
+  /** Stops all components. The log needs no flush, since every append is synced. */
   public void stop() {
     LOG.info("controller {} stops", settings.name());
     node.stop();
--- a/server/src/main/java/org/streamcourse/process/SettingsReference.java
+++ b/server/src/main/java/org/streamcourse/process/SettingsReference.java
@@ -7,7 +7,7 @@
 import org.streamcourse.process.settings.SettingsReader;
 import org.streamcourse.process.settings.StatementProxySettings;
 
-/** The reference page of all settings, made from the code. */
+/** Generates the reference page of all settings. */
 public final class SettingsReference {
   private static final String HEADER =
       "| Field | Meaning | Unit | Default |\n| --- | --- | --- | --- |\n";
@@ -15,7 +15,7 @@
   private SettingsReference() {}
 
   /**
-   * Writes the page.
+   * Generates the page.
    *
    * @return Markdown text
    */
--- a/server/src/main/java/org/streamcourse/process/SingleLoop.java
+++ b/server/src/main/java/org/streamcourse/process/SingleLoop.java
@@ -11,14 +11,14 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * One event loop of one thread that carries all connections of a process and its worker, so that
- * what arrives is handled without changing threads.
+ * A single-threaded event loop that runs all connections of a process and its worker, so that
+ * messages are handled on the thread that receives them.
  */
 public final class SingleLoop implements LoopResources {
   private final EventLoopGroup group;
   private final Scheduler scheduler;
 
-  /** Starts the loop. */
+  /** Starts the event loop. */
   public SingleLoop() {
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     scheduler = Schedulers.fromExecutorService(group.next());
@@ -34,9 +34,9 @@
   }
 
   /**
-   * Returns the loop.
+   * Returns the event loop.
    *
-   * @return group of one loop
+   * @return group with one event loop
    */
   public EventLoopGroup group() {
     return group;
--- a/server/src/main/java/org/streamcourse/process/StatementMetrics.java
+++ b/server/src/main/java/org/streamcourse/process/StatementMetrics.java
@@ -20,88 +20,102 @@
 
   StatementMetrics(MetricsEndpoint endpoint, StatementProxyNode node, RequestLog log) {
     endpoint.gauge("streamcourse_sessions", "Open sessions of callers.", node::openSessions);
-    endpoint.gauge("streamcourse_image_version", "Version in force.", () -> node.image().version());
-    endpoint.gauge("streamcourse_reroutes", "Times another member was tried.", log::reroutes);
+    endpoint.gauge(
+        "streamcourse_image_version",
+        "Version of the image in force.",
+        () -> node.image().version());
+    endpoint.gauge(
+        "streamcourse_reroutes", "Statements rerouted to another member.", log::reroutes);
     endpoint.gauge(
         "streamcourse_members_left_out",
-        "Times a member was left out of a read's choice for its lag or silence.",
+        "Times a member was excluded from a read for its lag or for being unresponsive.",
         log::leftOut);
     endpoint.gauge(
         "streamcourse_late_reads_repeated",
-        "Reads asked of another member since their answer was late.",
+        "Reads repeated at another member because their answer was late.",
         log::lateRetries);
     endpoint.gauge(
         "streamcourse_late_reads_not_repeated",
-        "Reads with a late answer that the budget of repeats allowed no other member.",
+        "Reads with a late answer that the budget did not allow to repeat.",
         log::lateRetriesDenied);
     endpoint.gauge(
         "streamcourse_relayed_streams",
-        "Other nodes' statements and transactions on this node's links.",
+        "Other nodes' statements and transactions on this node's member links.",
         node::relayedStreams);
     endpoint.gauge(
-        "streamcourse_other_holders", "Times another holder was asked.", log::holderRetries);
+        "streamcourse_other_holders",
+        "Statements sent to another holder after a first one.",
+        log::holderRetries);
     endpoint.gauge(
         "streamcourse_refused_for_others",
-        "Other nodes' statements that got no connection here.",
+        "Other nodes' statements refused here for lack of a connection.",
         log::refusedForOthers);
-    tellOfLinks(endpoint, node);
-    tellOfLimits(endpoint, node);
-    endpoint.gauge("streamcourse_log_lines_lost", "Lines lost to a full queue.", LogQueue::lost);
+    addLinkMetrics(endpoint, node);
+    addQuotaMetrics(endpoint, node);
+    endpoint.gauge(
+        "streamcourse_log_lines_lost",
+        "Log lines dropped because the queue was full.",
+        LogQueue::lost);
     for (AnswerCode code : AnswerCode.values()) {
       String outcome = code.name().toLowerCase(Locale.ROOT);
       endpoint.gauge(
-          "streamcourse_answers_" + outcome, "Statements answered so.", () -> log.count(code));
+          "streamcourse_answers_" + outcome,
+          "Statements with this outcome.",
+          () -> log.count(code));
       answered.put(
           code,
           endpoint.histogram(
-              "streamcourse_statement", "From a statement to its answer.", OUTCOME, outcome));
+              "streamcourse_statement", "Time from a statement to its answer.", OUTCOME, outcome));
     }
     waited =
         endpoint.histogram(
-            "streamcourse_link_wait", "From a statement to a link to a member.", OUTCOME, "got");
+            "streamcourse_link_wait", "Time from a statement to its member link.", OUTCOME, "got");
     member =
         endpoint.histogram(
-            "streamcourse_member", "From sending to a member's answer.", OUTCOME, "answered");
+            "streamcourse_member",
+            "Time from sending a statement to a member to its answer.",
+            OUTCOME,
+            "answered");
   }
 
-  private static void tellOfLinks(MetricsEndpoint endpoint, StatementProxyNode node) {
+  private static void addLinkMetrics(MetricsEndpoint endpoint, StatementProxyNode node) {
     endpoint.gauge(
         "streamcourse_slots_taken",
-        "Commands under way at members over this node's links.",
+        "Commands running at members over this node's member links.",
         () -> node.sumOverMembers(MemberLinks::slotsTaken));
     endpoint.gauge(
         "streamcourse_link_requests_waiting",
-        "Statements and transactions that wait here for a link or a slot.",
+        "Statements and transactions that wait here for a member link or a slot.",
         () -> node.sumOverMembers(MemberLinks::waiting));
     endpoint.gauge(
         "streamcourse_links_handed_over",
-        "Idle links that ended for another tenant.",
+        "Idle member links closed to make room for another tenant.",
         () -> node.sumOverMembers(MemberLinks::handedOver));
   }
 
-  private static void tellOfLimits(MetricsEndpoint endpoint, StatementProxyNode node) {
+  private static void addQuotaMetrics(MetricsEndpoint endpoint, StatementProxyNode node) {
     endpoint.gauge(
         "streamcourse_quota_admitted",
         "Operations of limited tenants that were admitted.",
         node.quotas().counts()::admitted);
     endpoint.gauge(
         "streamcourse_quota_refused",
-        "Operations refused for their tenant's limit.",
+        "Operations refused because of their tenant's limit.",
         node.quotas().counts()::refusals);
     endpoint.gauge(
         "streamcourse_quota_counted_for_others",
-        "Other nodes' operations that were admitted here.",
+        "Other nodes' operations that this quota server admitted.",
         node.quotas()::admittedForOthers);
     endpoint.gauge(
         "streamcourse_quota_homes_silent",
-        "Times a node that counts operations was found silent.",
+        "Times a quota server was suspected to be unresponsive.",
         node.quotas()::suspicions);
     node.quotas()
         .counts()
         .onAdmitted(
             endpoint.histogram(
                 "streamcourse_quota_wait",
-                "From an operation to its place within the tenant's limit.",
+                "Time from an operation to its admission within the tenant's limit.",
                 OUTCOME,
                 "admitted"));
   }
--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -36,25 +36,25 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * A proxy for services whose members register themselves, without its sockets. The process, tests
- * and the simulator use this class.
+ * A proxy for services whose members register themselves, without its sockets. Used by the process,
+ * tests and the simulator.
  *
- * <p>It serves once the controllers have confirmed an image with a routing document, or one that
- * has just started too, or another proxy, has told what it had stored. It goes on serving when it
- * is cut off from them: what a read must have seen is shown by the members themselves, and a
- * replaced primary refuses.
+ * <p>The node serves once the controllers have confirmed an image with a routing document, or once
+ * a controller that has just started, or another proxy, has sent its stored image. It continues to
+ * serve while it is cut off from the controllers, since members themselves enforce read floors, and
+ * a replaced primary refuses writes.
  *
- * <p>All methods but the queries run on the node's worker.
+ * <p>All methods except the getters run on the node's worker.
  */
 public final class StatementProxyNode implements PeerHandler, SessionNode {
-  private static final long HEALTH_MILLIS = 100;
-  private static final long BEGIN_MILLIS = 10_000;
-  private static final long HEARD_LATELY_MILLIS = 1_000;
+  private static final long HEALTH_CHECK_MILLIS = 100;
+  private static final long SESSION_START_TIMEOUT_MILLIS = 10_000;
+  private static final long RECENT_CONTACT_MILLIS = 1_000;
 
-  /** Time between looks at what need not be noticed sooner; each wake-up costs processor time. */
-  private static final long SECOND_MILLIS = 1_000;
+  /** Period of checks that are not urgent; each wake-up costs CPU time. */
+  private static final long SLOW_CHECK_MILLIS = 1_000;
 
-  private static final long NO_END = Long.MAX_VALUE;
+  private static final long UNLIMITED = Long.MAX_VALUE;
 
   private final Worker worker;
   private final NodeAgent agent;
@@ -70,21 +70,21 @@
   private volatile boolean stopping;
   private boolean draining;
   private long sessionNumbers;
-  private long keyTrustMillis = NO_END;
+  private long keyTrustMillis = UNLIMITED;
 
   /**
-   * Wires a node.
+   * Creates a node.
    *
-   * @param worker the one worker of the node
-   * @param network way to the controllers
-   * @param codec codec that knows the control messages
+   * @param worker worker that runs the whole node
+   * @param network sends messages to other processes
+   * @param codec codec for the control messages
    * @param controllers names of controllers
-   * @param self this node
+   * @param self image of this node
    * @param dialer opens connections to members
-   * @param log tells what is decided about statements
-   * @param lastStream number below those of this run's relayed streams, far from those of other
-   *     runs
-   * @param quotaSettings how limits of tenants are counted
+   * @param log logs decisions about statements
+   * @param lastStream relayed streams of this incarnation are numbered upwards from here; far from
+   *     the numbers of other incarnations
+   * @param quotaSettings settings for tenant limits
    */
   public StatementProxyNode(
       Worker worker,
@@ -101,7 +101,8 @@
     this.relayClient = new RelayClient(worker, network, lastStream);
     this.table = new MemberTable(worker, dialer, relayClient, self);
     this.peerProber = new PeerProber(self.name(), relayClient::sendPing);
-    this.relayServer = new RelayServer(worker, network, table::held, this::longestRestMillis, log);
+    this.relayServer =
+        new RelayServer(worker, network, table::held, this::transactionIdleMillis, log);
     this.agent =
         new NodeAgent(
             worker, network, new NoDisk(), codec, ControlSettings.DEFAULT, controllers, self);
@@ -133,23 +134,23 @@
   }
 
   /**
-   * Sets how long after the last confirmation keys are still checked by the document in force;
-   * without it for as long as the node runs.
+   * Sets how long after the controllers' last confirmation keys are still checked against the
+   * document in force. Without a limit, the document is used for as long as the node runs.
    *
-   * @param millis time in milliseconds; to be set before the start
+   * @param millis time in milliseconds; must be set before the node starts
    */
-  public void trustKeysFor(long millis) {
+  public void setKeyTrustMillis(long millis) {
     keyTrustMillis = millis;
   }
 
-  /** Starts heartbeats and the care for members. */
+  /** Starts heartbeats and the periodic checks of members, streams and quotas. */
   public void start() {
     worker.execute(agent::start);
-    worker.repeat(HEALTH_MILLIS, this::checkMembers);
-    worker.repeat(SECOND_MILLIS, this::lookAfterTheRest);
+    worker.repeat(HEALTH_CHECK_MILLIS, this::checkMembers);
+    worker.repeat(SLOW_CHECK_MILLIS, this::runSlowChecks);
   }
 
-  private long longestRestMillis() {
+  private long transactionIdleMillis() {
     return image().document().limits().transactionIdleMillis();
   }
 
@@ -162,7 +163,7 @@
     }
   }
 
-  private void lookAfterTheRest() {
+  private void runSlowChecks() {
     relayServer.check();
     log.logDropped();
   }
@@ -171,12 +172,12 @@
     table.services().forEach(this::reportMembers);
   }
 
-  /** A member of which nothing was heard lately, and of which nothing was asked, is not told of. */
+  /** Reports members that are unreachable or were recently heard; withdraws other reports. */
   private void reportMembers(String service, ServiceMembers members) {
     for (MemberLinks links : members.all()) {
       String member = links.member().id().value();
-      boolean heardLately = worker.now() - links.lastHeardMillis() < HEARD_LATELY_MILLIS;
-      if (links.isUnreachable() || heardLately) {
+      boolean recentlyHeard = worker.now() - links.lastHeardMillis() < RECENT_CONTACT_MILLIS;
+      if (links.isUnreachable() || recentlyHeard) {
         TermPosition position = members.position(links.member().id());
         MemberStatus status =
             new MemberStatus(position.term(), MemberRole.REPLICA, "", position, position, position);
@@ -190,9 +191,9 @@
   }
 
   /**
-   * Tells whether callers should be sent here.
+   * Returns whether the platform should send callers to this node.
    *
-   * @return true while it serves and does not stop; safe from any thread
+   * @return true while the node serves and is not stopping; callable from any thread
    */
   public boolean isReady() {
     return isServing() && !stopping;
@@ -201,34 +202,34 @@
   /**
    * Opens the session of a caller's connection.
    *
-   * @param channel way to the caller
+   * @param channel channel to the caller
    * @return session
    */
   public ClientSession open(ClientChannel channel) {
     sessionNumbers++;
     ClientSession session = new ClientSession(this, channel, sessionNumbers);
     sessions.add(session);
-    worker.schedule(BEGIN_MILLIS, session::endUnlessBegun);
+    worker.schedule(SESSION_START_TIMEOUT_MILLIS, session::endUnlessBegun);
     if (draining) {
-      // It would still be open when the process ends; its caller asks another node.
+      // The session would still be open when the process exits; its caller retries at another node.
       session.drain();
     }
     return session;
   }
 
-  /** Tells from now on that it is not ready. */
+  /** Makes {@link #isReady} return false from now on. */
   public void beginStop() {
     stopping = true;
   }
 
-  /** Ends each session, and each that is opened later, as soon as nothing is open in it. */
+  /** Ends each present and future session as soon as it has no open statement or transaction. */
   public void drainSessions() {
     draining = true;
     relayServer.stopTaking();
     List.copyOf(sessions).forEach(ClientSession::drain);
   }
 
-  /** Gives up the transactions that rest. */
+  /** Abandons the idle transactions of all sessions. */
   public void abandonTransactions() {
     List.copyOf(sessions).forEach(ClientSession::abandon);
   }
@@ -243,7 +244,7 @@
   }
 
   /**
-   * Returns the number of other nodes' statements and transactions that run over this node's links.
+   * Returns the number of other nodes' statements and transactions on this node's member links.
    *
    * @return streams
    */
@@ -252,9 +253,9 @@
   }
 
   /**
-   * Adds up a figure of the links to all members.
+   * Sums a value over the member links to all members.
    *
-   * @param figure figure of the links to one member
+   * @param figure value for the links to one member
    * @return sum
    */
   public long sumOverMembers(ToLongFunction<MemberLinks> figure) {
@@ -273,7 +274,7 @@
     return agent;
   }
 
-  // ---- what sessions share ----
+  // ---- SessionNode ----
 
   @Override
   public Worker worker() {
@@ -307,7 +308,7 @@
 
   @Override
   public boolean knowsKeys() {
-    return keyTrustMillis == NO_END || agent.wasConfirmedWithin(keyTrustMillis);
+    return keyTrustMillis == UNLIMITED || agent.wasConfirmedWithin(keyTrustMillis);
   }
 
   @Override
@@ -343,7 +344,7 @@
     }
   }
 
-  /** For controllers, the missing answers to heartbeats tell the same. */
+  /** A lost link to a controller needs no handling: missing heartbeat replies reveal it. */
   @Override
   public void linkLost(String peer) {
     worker.execute(
--- a/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
@@ -19,29 +19,29 @@
 import org.streamcourse.version.image.NodeImage;
 import org.streamcourse.version.image.Placement;
 
-/** The process of a proxy for services whose members register themselves. */
+/** A proxy process for services whose members register themselves. */
 public final class StatementProxyProcess {
   private static final Logger LOG = LoggerFactory.getLogger(StatementProxyProcess.class);
 
-  /** Time from not being ready until callers are no longer sent here. */
-  private static final long NOT_READY_MILLIS = 2_300;
+  /** Time until the platform stops sending callers to a node that reports not being ready. */
+  private static final long READINESS_LAG_MILLIS = 2_300;
 
   /**
-   * A node without a data folder holds nothing that a later run could conflict with, so all its
-   * runs count as one; a clock that was set back does not matter.
+   * A node without a data folder stores nothing that a later incarnation could conflict with, so
+   * all its incarnations have the same number, which does not depend on the clock.
    */
   private static final long ONLY_INCARNATION = 1;
 
-  /** Bits dropped from a random first number, so that counting on from it never overflows. */
+  /** High bits cleared in the random first stream number, so that counting up never overflows. */
   private static final int OVERFLOW_BITS = 8;
 
-  /** Part of the time until a key must not count any more that is used without a confirmation. */
+  /** Fraction of the revocation time for which keys are accepted without a confirmation. */
   private static final double REVOCATION_SHARE = 0.8;
 
-  /** Time between looks at what is still open during a stop. */
+  /** Time between checks for open sessions during a stop. */
   private static final long STOP_POLL_MILLIS = 50;
 
-  /** Part of the time for a stop that is left for ending the process. */
+  /** Fraction of the grace period reserved for the exit of the process. */
   private static final double STOP_RESERVE = 0.15;
 
   private final StatementProxySettings settings;
@@ -52,7 +52,7 @@
   private final MetricsEndpoint metrics;
 
   /**
-   * Wires the process.
+   * Creates the process's components.
    *
    * @param settings checked settings
    * @param sessionProtocol protocol of the callers
@@ -72,7 +72,7 @@
             new FleetKey(settings.fleetKey()),
             loop,
             ControllerAddresses::addressOf,
-            ControllerAddresses.LINK_SILENCE);
+            ControllerAddresses.LINK_TIMEOUT);
     Placement placement = new Placement(settings.region(), settings.zone());
     network.setPlacement(placement);
     Worker worker = loop.worker();
@@ -99,7 +99,7 @@
             ThreadLocalRandom.current().nextLong() >>> OVERFLOW_BITS,
             settings.quotas());
     if (settings.revocationMillis() != null) {
-      node.trustKeysFor(Math.round(settings.revocationMillis() * REVOCATION_SHARE));
+      node.setKeyTrustMillis(Math.round(settings.revocationMillis() * REVOCATION_SHARE));
     }
     port = new SessionPort(sessionProtocol, node::open);
     metrics = settings.metrics() == null ? null : metrics(log);
@@ -113,9 +113,9 @@
   }
 
   /**
-   * Starts all parts.
+   * Starts all components.
    *
-   * @param callersPort the callers' port where it is open already
+   * @param callersPort port for callers if it is open already
    */
   public void start(Optional<EarlyPort> callersPort) {
     network.start(settings.links().host(), settings.links().port(), node);
@@ -128,9 +128,9 @@
   }
 
   /**
-   * Tells whether callers should be sent here.
+   * Returns whether the platform should send callers to this node.
    *
-   * @return true while it serves and does not stop
+   * @return true while the node serves and is not stopping
    */
   public boolean isReady() {
     return node.isReady();
@@ -146,27 +146,28 @@
   }
 
   /**
-   * Takes in changed settings; only other controllers are taken over while it runs.
+   * Applies changed settings. Only the list of controllers can change while the process runs.
    *
-   * @param changed settings read again
+   * @param changed new settings
    */
   public void reload(StatementProxySettings changed) {
-    LOG.info("settings read again: controllers {}", changed.controllerSeeds());
+    LOG.info("settings reloaded: controllers {}", changed.controllerSeeds());
     node.agent()
         .setSeeds(
             ControllerAddresses.names(changed.controllerSeeds(), changed.controllerLinkPort()));
   }
 
   /**
-   * Stops without cutting a request: first callers are sent elsewhere, then sessions end as soon as
-   * nothing is open in them; transactions get half of the time.
+   * Stops without interrupting a request: the node first reports that it is not ready, then
+   * sessions end as soon as they are idle. Open transactions are abandoned after half of the grace
+   * period.
    */
   public void stop() throws InterruptedException {
     long startedAt = node.worker().now();
     long graceMillis = TimeUnit.SECONDS.toMillis(settings.graceSeconds());
     LOG.info("stops with {} open sessions", node.openSessions());
     node.beginStop();
-    TimeUnit.MILLISECONDS.sleep(Math.min(NOT_READY_MILLIS, graceMillis / 2));
+    TimeUnit.MILLISECONDS.sleep(Math.min(READINESS_LAG_MILLIS, graceMillis / 2));
     onLoop(node::drainSessions);
     boolean abandoned = false;
     long limit = Math.round(graceMillis * (1 - STOP_RESERVE));
--- a/server/src/main/java/org/streamcourse/process/StreamcourseCommand.java
+++ b/server/src/main/java/org/streamcourse/process/StreamcourseCommand.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line of the product. */
+/** The command line of Streamcourse. */
 @Command(
     name = "streamcourse",
     mixinStandardHelpOptions = true,
@@ -65,7 +65,7 @@
         : exception.toString();
   }
 
-  /** Waits until the process is told to stop, then stops in order. */
+  /** Waits for the signal to stop, then runs a planned stop. */
   private static void runUntilStopped(Runnable stop) throws InterruptedException {
     CountDownLatch stopping = new CountDownLatch(1);
     CountDownLatch stopped = new CountDownLatch(1);
@@ -118,7 +118,7 @@
   @Command(
       name = "proxy",
       mixinStandardHelpOptions = true,
-      description = "Runs a proxy until SIGTERM; it then stops without cutting a request.")
+      description = "Runs a proxy until SIGTERM; it then stops without interrupting a request.")
   static final class ProxyCommand implements Callable<Integer> {
     @Option(names = "--config", required = true, description = "Settings file.")
     private Path config;
@@ -136,9 +136,9 @@
   @Command(
       name = "check-config",
       mixinStandardHelpOptions = true,
-      description = "Checks a settings file and says what is wrong with it.")
+      description = "Checks a settings file and reports the first error.")
   static final class CheckConfigCommand implements Callable<Integer> {
-    /** What a settings file may be for. */
+    /** Kinds of processes that a settings file may belong to. */
     private enum Role {
       CONTROLLER("controller", "admin:"),
       PROXY("proxy", "callers:"),
@@ -147,7 +147,7 @@
 
       private final String label;
 
-      /** Begin of a line that only files of this role have. */
+      /** Key at the start of a line that only settings files of this role have. */
       private final String mark;
 
       Role(String label, String mark) {
@@ -162,8 +162,8 @@
     @Option(
         names = "--role",
         description =
-            "controller, proxy, statement-proxy or service-controller; found from the file when"
-                + " left out.")
+            "controller, proxy, statement-proxy or service-controller; detected from the file"
+                + " when left out.")
     private String role;
 
     @Override
@@ -187,7 +187,7 @@
         }
       }
       throw new StreamcourseException(
-          ErrorCode.INVALID_SETTINGS, "check-config", "", "--role: there is no role " + label);
+          ErrorCode.INVALID_SETTINGS, "check-config", "", "--role: unknown role " + label);
     }
 
     private Role roleOfFile() throws java.io.IOException {
@@ -205,7 +205,8 @@
   @Command(
       name = "console",
       mixinStandardHelpOptions = true,
-      description = "Sends operators' statements, from --execute or line by line from the input.")
+      description =
+          "Sends operators' statements, from --execute or line by line from standard input.")
   static final class ConsoleCommand implements Callable<Integer> {
     @Option(names = "--admin", required = true, description = "Admin port as IP:PORT.")
     private String admin;
--- a/server/src/main/java/org/streamcourse/process/StreamcourseException.java
+++ b/server/src/main/java/org/streamcourse/process/StreamcourseException.java
@@ -1,6 +1,6 @@
 package org.streamcourse.process;
 
-/** Unchecked error with a code, the step at which it arose and the peer involved. */
+/** Unchecked exception with an error code, the step that failed and the peer involved. */
 public final class StreamcourseException extends RuntimeException {
   private final ErrorCode code;
   private final String step;
@@ -10,24 +10,24 @@
   /**
    * Creates an error.
    *
-   * @param code entry of the error table
+   * @param code error code
    * @param step name of the step that failed, such as {@code connect}
-   * @param peer the node, member or caller on the other side, empty when there is none
-   * @param message what happened, for a person
+   * @param peer node, member or caller on the other side, empty if there is none
+   * @param message description for operators and callers
    */
   public StreamcourseException(ErrorCode code, String step, String peer, String message) {
     this(code, step, peer, message, 0, null);
   }
 
   /**
-   * Creates an error with a hint when to come back and a cause.
+   * Creates an error with a retry hint and a cause.
    *
-   * @param code entry of the error table
+   * @param code error code
    * @param step name of the step that failed
-   * @param peer the other side, empty when there is none
-   * @param message what happened, for a person
-   * @param retryAfterMillis when the caller should try again, 0 for no hint
-   * @param cause underlying error or null
+   * @param peer node, member or caller on the other side, empty if there is none
+   * @param message description for operators and callers
+   * @param retryAfterMillis time after which the caller should retry, 0 for no hint
+   * @param cause underlying exception, or null
    */
   public StreamcourseException(
       ErrorCode code,
@@ -46,14 +46,14 @@
   /**
    * Returns the code.
    *
-   * @return entry of the error table
+   * @return error code
    */
   public ErrorCode code() {
     return code;
   }
 
   /**
-   * Returns the step at which the error arose.
+   * Returns the step that failed.
    *
    * @return short step name
    */
@@ -64,14 +64,14 @@
   /**
    * Returns the peer involved.
    *
-   * @return node, member or caller; empty when there is none
+   * @return node, member or caller; empty if there is none
    */
   public String peer() {
     return peer;
   }
 
   /**
-   * Returns the hint when to come back.
+   * Returns the time after which the caller should retry.
    *
    * @return milliseconds, 0 for no hint
    */
--- a/server/src/main/java/org/streamcourse/process/Worker.java
+++ b/server/src/main/java/org/streamcourse/process/Worker.java
@@ -3,22 +3,22 @@
 import reactor.core.Disposable;
 
 /**
- * Runs tasks one after the other, in the order in which they became due. Each session, stream and
- * control component is bound to one worker, so its own state needs no lock; tables shared between
- * workers have locks (see docs/ARCHITECTURE.md for their order).
+ * Runs tasks sequentially, in the order in which they become due. Each session, stream and control
+ * component is bound to one worker, so its own state needs no lock; tables shared between workers
+ * have locks (see docs/ARCHITECTURE.md for their order).
  */
 public interface Worker {
   /**
-   * Returns the monotonic time.
+   * Returns the current monotonic time.
    *
    * @return milliseconds from an arbitrary origin
    */
   long now();
 
   /**
-   * Runs a task as soon as the tasks before it are done.
+   * Runs a task after the tasks queued before it.
    *
-   * @param task what to run
+   * @param task task to run
    */
   void execute(Runnable task);
 
@@ -26,16 +26,16 @@
    * Runs a task after a delay.
    *
    * @param delayMillis delay in milliseconds
-   * @param task what to run
+   * @param task task to run
    * @return handle that cancels the task
    */
   Disposable schedule(long delayMillis, Runnable task);
 
   /**
-   * Runs a task again and again until cancelled; the next delay starts when the task has ended.
+   * Runs a task periodically until cancelled; the delay starts when the previous run has ended.
    *
    * @param periodMillis delay between runs in milliseconds
-   * @param task what to run
+   * @param task task to run
    * @return handle that cancels the repetition
    */
   default Disposable repeat(long periodMillis, Runnable task) {
--- a/server/src/main/java/org/streamcourse/process/WorkerPool.java
+++ b/server/src/main/java/org/streamcourse/process/WorkerPool.java
@@ -4,7 +4,7 @@
 import reactor.core.scheduler.Scheduler;
 import reactor.core.scheduler.Schedulers;
 
-/** A fixed number of threads from which workers are given out in turn. */
+/** A fixed number of threads; workers are assigned to them in turn. */
 public final class WorkerPool implements Supplier<Worker> {
   private final Scheduler scheduler;
 
--- a/server/src/main/java/org/streamcourse/process/package-info.java
+++ b/server/src/main/java/org/streamcourse/process/package-info.java
@@ -1,2 +1,2 @@
-/** What lives as long as the process: settings, workers, error table, storage, command line. */
+/** Process-wide components: settings, workers, error codes, storage, metrics and command line. */
 package org.streamcourse.process;
--- a/server/src/main/java/org/streamcourse/version/control/ImageStore.java
+++ b/server/src/main/java/org/streamcourse/version/control/ImageStore.java
@@ -60,7 +60,7 @@
 
   /** Stores a whole image. */
   void save(ClusterImage image) {
-    if (!disk.keeps()) {
+    if (!disk.isPersistent()) {
       return;
     }
     byte[] whole = codec.encode(image);
@@ -72,7 +72,7 @@
 
   /** Stores the delta from the image stored last to the next one. */
   void save(ClusterDelta delta, ClusterImage next) {
-    if (!disk.keeps()) {
+    if (!disk.isPersistent()) {
       return;
     }
     byte[] frame = Frames.write(codec.encode(delta));
--- a/server/src/test/java/org/streamcourse/process/ControlFleet.java
+++ b/server/src/test/java/org/streamcourse/process/ControlFleet.java
@@ -30,23 +30,24 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * Controllers and nodes' agents in three regions on a virtual clock, with members that send
- * heartbeats and whose logs grow, but without statements. It shows what the control plane sends.
+ * Simulates controllers and nodes' agents in three regions on a virtual clock, with members that
+ * send heartbeats and whose logs grow, but without statements. Measures the control plane's
+ * traffic.
  */
 public final class ControlFleet {
   private static final int REGIONS = 3;
   private static final int ZONES = 2 * REGIONS;
   private static final int MAX_VOTERS = 5;
   private static final int SERVICES = 6;
-  private static final int MEMBERS_A_SERVICE = 3;
+  private static final int MEMBERS_PER_SERVICE = 3;
 
-  /** Members that a node with some 7 statements a second has heard within the last second. */
+  /** Members heard within the last second by a node with about 7 statements per second. */
   private static final int HEARD_MEMBERS = 6;
 
   private static final long MEMBER_HEARTBEAT_MILLIS = 1_000;
 
-  /** Time between records of a member's log: 70 writes a second over six services. */
-  private static final long MILLIS_A_RECORD = 86;
+  /** Time between records of a member's log: 70 writes per second over six services. */
+  private static final long MILLIS_PER_RECORD = 86;
 
   private static final long STAGGER_MILLIS = 1_000;
 
@@ -58,7 +59,7 @@
   private final List<String> controllerNames = new ArrayList<>();
 
   /**
-   * Builds a fleet that does not run yet.
+   * Creates a fleet that is not started.
    *
    * @param nodeCount nodes, spread over all zones
    */
@@ -127,20 +128,20 @@
 
           @Override
           public void linkLost(String peer) {
-            // Heartbeats tell the same.
+            // Missing heartbeat replies reveal a lost link.
           }
         });
     nodes.put(name, agent);
   }
 
-  /** Tells of members as a node does that serves a few statements a second. */
+  /** Reports members as a node does that serves a few statements per second. */
   private void reportSomeMembers(NodeAgent agent) {
     if (!agent.image().document().isPresent()) {
       return;
     }
-    for (int i = 0; i < SERVICES * MEMBERS_A_SERVICE; i++) {
-      if (random.nextInt(SERVICES * MEMBERS_A_SERVICE) < HEARD_MEMBERS) {
-        TermPosition position = new TermPosition(1, nowMillis() / MILLIS_A_RECORD);
+    for (int i = 0; i < SERVICES * MEMBERS_PER_SERVICE; i++) {
+      if (random.nextInt(SERVICES * MEMBERS_PER_SERVICE) < HEARD_MEMBERS) {
+        TermPosition position = new TermPosition(1, nowMillis() / MILLIS_PER_RECORD);
         MemberStatus status =
             new MemberStatus(1, MemberRole.REPLICA, "", position, position, position);
         agent.report(new MemberReport(service(i), memberId(i), true, status), false);
@@ -151,7 +152,7 @@
   }
 
   private static String service(int member) {
-    return "service-" + member / MEMBERS_A_SERVICE;
+    return "service-" + member / MEMBERS_PER_SERVICE;
   }
 
   private static String memberId(int member) {
@@ -165,7 +166,7 @@
     for (NodeAgent agent : nodes.values()) {
       worker().schedule(random.nextLong(STAGGER_MILLIS), agent::start);
     }
-    for (int i = 0; i < SERVICES * MEMBERS_A_SERVICE; i++) {
+    for (int i = 0; i < SERVICES * MEMBERS_PER_SERVICE; i++) {
       int member = i;
       worker().repeat(MEMBER_HEARTBEAT_MILLIS, () -> memberHeartbeat(member, nowMillis()));
     }
@@ -185,10 +186,10 @@
     call(
         member % ZONES,
         new ServiceCall.MemberHeartbeat(
-            service(member), registered, member % MEMBERS_A_SERVICE == 0, sequence));
+            service(member), registered, member % MEMBERS_PER_SERVICE == 0, sequence));
   }
 
-  /** Gives a document in force to a controller. */
+  /** Replaces the routing document through the controllers. */
   public void replaceDocument(long version) {
     RoutingDocument document =
         new RoutingDocument(
@@ -204,7 +205,7 @@
     return worker().now();
   }
 
-  /** Lets time pass. */
+  /** Advances the virtual clock. */
   public void advance(long millis) {
     clock.advanceTimeBy(Duration.ofMillis(millis));
   }
@@ -225,7 +226,7 @@
     return controllers;
   }
 
-  /** Name of the controller that leads. */
+  /** Returns the name of the leading controller. */
   public String leader() {
     return controllers.entrySet().stream()
         .filter(each -> each.getValue().controller().agreement().isLeader())
@@ -234,12 +235,12 @@
         .orElseThrow();
   }
 
-  /** Bytes sent so far over some distance. */
+  /** Returns the bytes sent so far over a distance. */
   public long bytes(PeerDistance distance) {
     return sum(counter -> counter.distance() == distance);
   }
 
-  /** Bytes sent so far by all whose counters fit. */
+  /** Returns the bytes sent so far, summed over the matching counters. */
   public long sum(Predicate<LinkTraffic.Counter> wanted) {
     long[] bytes = new long[1];
     for (String name : names()) {
@@ -250,7 +251,7 @@
     return bytes[0];
   }
 
-  /** Bytes between regions so far by kind of message. */
+  /** Returns the bytes sent between regions so far, by kind of message. */
   public Map<String, Long> betweenRegions() {
     Map<String, Long> byKind = new TreeMap<>();
     for (String name : names()) {
--- a/server/src/test/java/org/streamcourse/process/ControlTrafficTest.java
+++ b/server/src/test/java/org/streamcourse/process/ControlTrafficTest.java
@@ -10,22 +10,22 @@
 import org.testng.annotations.Test;
 
 /**
- * What the control plane of a large fleet sends between regions: 86 nodes and 6 controllers in 3
- * regions, 20 ms apart, before 18 members. While it started, 5.5 MB went between regions, of them
- * 3.7 MB of agreed entries that were sent again before they could be answered; at 300 nodes 44 MB.
- * Then it was 51 KB a second, two thirds of them heartbeats that repeat names and addresses.
+ * Limits the traffic of a large fleet's control plane between regions: 86 nodes and 6 controllers
+ * in 3 regions, 20 ms apart, with 18 members. Guards against two former faults: log entries resent
+ * before a reply could arrive (3.7 of 5.5 MB at the start; 44 MB in all with 300 nodes), and
+ * heartbeats that repeat names and addresses (two thirds of 51 KB per second when idle).
  */
 public class ControlTrafficTest {
   private static final int NODES = 86;
   private static final int MANY_NODES = 300;
   private static final long START_MILLIS = 3_000;
-  private static final long CALM_MILLIS = 10_000;
+  private static final long STEADY_MILLIS = 10_000;
 
-  /** A fifth of what the start took before; 0.27 MB when this was written. */
-  private static final long MOST_AT_START = 1_100_000;
+  /** Limit for the start in bytes: a fifth of the former 5.5 MB. The start takes 0.27 MB. */
+  private static final long MAX_START_BYTES = 1_100_000;
 
-  /** A third of what a calm second took before; 8.1 KB when this was written. */
-  private static final long MOST_A_SECOND = 17_000;
+  /** Limit per second in bytes: a third of the former 51 KB. A stable fleet sends 8.1 KB. */
+  private static final long MAX_BYTES_PER_SECOND = 17_000;
 
   private static ControlFleet started(int nodes) {
     ControlFleet fleet = new ControlFleet(nodes);
@@ -36,8 +36,8 @@
 
   private static long perSecond(ControlFleet fleet) {
     long before = fleet.bytes(PeerDistance.OTHER_REGION);
-    fleet.advance(CALM_MILLIS);
-    return (fleet.bytes(PeerDistance.OTHER_REGION) - before) * 1_000 / CALM_MILLIS;
+    fleet.advance(STEADY_MILLIS);
+    return (fleet.bytes(PeerDistance.OTHER_REGION) - before) * 1_000 / STEADY_MILLIS;
   }
 
   private static void assertAllServe(ControlFleet fleet) {
@@ -49,25 +49,27 @@
   }
 
   @Test
-  public void aStartTakesAFifthOfWhatItTook() {
+  public void trafficAtTheStartStaysBelowItsLimit() {
     ControlFleet fleet = started(NODES);
     assertAllServe(fleet);
     long bytes = fleet.bytes(PeerDistance.OTHER_REGION);
-    assertTrue(bytes < MOST_AT_START, bytes + " bytes: " + fleet.betweenRegions());
+    assertTrue(bytes < MAX_START_BYTES, bytes + " bytes: " + fleet.betweenRegions());
   }
 
   @Test
-  public void aCalmSecondTakesAThirdOfWhatItTook() {
+  public void steadyTrafficStaysBelowItsLimit() {
     ControlFleet fleet = started(NODES);
     Map<String, Long> before = new TreeMap<>(fleet.betweenRegions());
     long bytes = perSecond(fleet);
     assertAllServe(fleet);
-    assertTrue(bytes < MOST_A_SECOND, bytes + " bytes: " + before + fleet.betweenRegions());
+    assertTrue(bytes < MAX_BYTES_PER_SECOND, bytes + " bytes: " + before + fleet.betweenRegions());
   }
 
-  /** Bytes a node must not grow with the fleet: 3.5 times the nodes, at most 4 times the bytes. */
+  /**
+   * Bytes per node must not grow with the fleet: 3.5 times the nodes, at most 4 times the bytes.
+   */
   @Test
-  public void calmSecondsGrowNoFasterThanTheFleet() {
+  public void steadyTrafficGrowsNoFasterThanTheFleet() {
     long few = perSecond(started(NODES));
     long many = perSecond(started(MANY_NODES));
     assertTrue(many < 4 * few, few + " bytes a second, with more nodes " + many);
--- a/server/src/test/java/org/streamcourse/process/FleetKeyTest.java
+++ b/server/src/test/java/org/streamcourse/process/FleetKeyTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Signatures are HMAC-SHA-256, cut to 16 bytes, so that processes of other versions know them. */
+/** Signatures are HMAC-SHA-256 truncated to 16 bytes, so that other builds can verify them. */
 public class FleetKeyTest {
   @Test
-  public void signsAsTheStandardSays() {
+  public void matchesTheTestVectorOfRfc4231() {
     // RFC 4231, test case 2.
     byte[] signature = new FleetKey("Jefe").sign("what do ya want for nothing?");
     assertEquals(HexFormat.of().formatHex(signature), "5bdcc146bf60754e6a042426089575c7");
@@ -29,7 +29,7 @@
   }
 
   @Test(dataProvider = "secrets")
-  public void signsAsTheJdkDoes(String secret) throws Exception {
+  public void matchesTheJdkImplementation(String secret) throws Exception {
     Mac mac = Mac.getInstance("HmacSHA256");
     mac.init(new SecretKeySpec(secret.getBytes(StandardCharsets.UTF_8), "HmacSHA256"));
     byte[] expected = mac.doFinal("a text".getBytes(StandardCharsets.UTF_8));
@@ -37,7 +37,7 @@
   }
 
   @Test
-  public void verifiesOnlyItsOwn() {
+  public void verifiesOnlyItsOwnSignatures() {
     FleetKey key = new FleetKey("secret");
     assertTrue(key.verifies("text", key.sign("text")));
     assertFalse(key.verifies("other", key.sign("text")));
--- a/server/src/test/java/org/streamcourse/process/MemoryDisk.java
+++ b/server/src/test/java/org/streamcourse/process/MemoryDisk.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A data folder in memory for tests; its files can be damaged. */
+/** An in-memory data folder for tests. */
 public final class MemoryDisk implements Disk {
   private final TreeMap<String, byte[]> files = new TreeMap<>();
 
--- a/server/src/test/java/org/streamcourse/process/MessageCodecTest.java
+++ b/server/src/test/java/org/streamcourse/process/MessageCodecTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What is stored and sent has the form that Kryo gives it with all serializers set up at once. */
+/** Lazily created serializers produce the same bytes as serializers that are created eagerly. */
 public class MessageCodecTest {
   private enum Colour {
     RED,
@@ -23,7 +23,7 @@
 
   private static final List<Class<?>> TYPES = List.of(Colour.class, Leaf.class, Tree.class);
 
-  private static byte[] encodedAtOnce(Object value) {
+  private static byte[] encodedEagerly(Object value) {
     Kryo kryo = new Kryo();
     kryo.setReferences(false);
     ImmutableCollectionsSerializers.registerSerializers(kryo);
@@ -52,10 +52,10 @@
   }
 
   @Test(dataProvider = "values")
-  public void keepsItsForm(Object value) {
+  public void encodesLikeEagerSerializers(Object value) {
     MessageCodec codec = new MessageCodec(TYPES);
     byte[] bytes = codec.encode(value);
-    assertEquals(bytes, encodedAtOnce(value));
+    assertEquals(bytes, encodedEagerly(value));
     assertEquals(codec.decode(bytes), value);
   }
 }
--- a/server/src/test/java/org/streamcourse/process/MetricsEndpointTest.java
+++ b/server/src/test/java/org/streamcourse/process/MetricsEndpointTest.java
@@ -15,7 +15,7 @@
 import org.streamcourse.process.settings.HostPort;
 import org.testng.annotations.Test;
 
-/** Gauges and latency histograms are served as text. */
+/** Tests that gauges, counters and histograms are served as Prometheus text. */
 public class MetricsEndpointTest {
   private static HostPort freeAddress() throws IOException {
     InetAddress loopback = InetAddress.getLoopbackAddress();
--- a/server/src/test/java/org/streamcourse/process/PlatformListTest.java
+++ b/server/src/test/java/org/streamcourse/process/PlatformListTest.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** The platform's list is read as far as it is understood, and refused with the place otherwise. */
+/** Tests that unknown labels of the platform's list are ignored, and that errors name the entry. */
 public class PlatformListTest {
   private static Set<String> parse(String json) throws IOException {
     return PlatformList.parse(new ObjectMapper().readTree(json));
   }
 
   @Test
-  public void findsTheMachinesThatLeave() throws IOException {
+  public void findsLeavingMachines() throws IOException {
     assertEquals(
         parse(
             "[{\"targets\":[\"10.0.0.1:1\",\"10.0.0.2:1\"],\"labels\":{\"state\":\"leaving\"}},"
@@ -27,12 +27,12 @@
   }
 
   @Test
-  public void namesThePlaceOfWhatIsNotUnderstood() {
+  public void errorNamesTheInvalidEntry() {
     IOException wrong =
         expectThrows(
             IOException.class,
             () -> parse("[{\"targets\":[]},{\"targets\":\"10.0.0.1:1\",\"labels\":{}}]"));
-    assertEquals(wrong.getMessage(), "entry 1: 'targets' is no array");
+    assertEquals(wrong.getMessage(), "entry 1: 'targets' is not an array");
     assertThrows(IOException.class, () -> parse("{\"targets\":[]}"));
     assertThrows(IOException.class, () -> parse("[{"));
   }
--- a/server/src/test/java/org/streamcourse/process/StatementProxyNodeTest.java
+++ b/server/src/test/java/org/streamcourse/process/StatementProxyNodeTest.java
@@ -36,11 +36,11 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** What a proxy does at its start, its stop, and while it is cut off. */
+/** Tests a proxy at its start, during its stop, and while it is cut off from the controllers. */
 public class StatementProxyNodeTest {
   private static final Placement PLACEMENT = new Placement("r", "z");
 
-  /** Notes whether a caller's connection was closed. */
+  /** Records the messages to a caller and whether its connection was closed. */
   private static final class Caller implements ClientChannel {
     private boolean closed;
     private boolean welcomed;
@@ -93,17 +93,17 @@
     return new NodeImage(name, 1, name.substring(0, name.indexOf(':')), 1, PLACEMENT, false);
   }
 
-  /** After a loss of all power each node would otherwise open links to all others at once. */
+  /** Otherwise each node would open links to all other nodes at once after a power loss. */
   @Test
-  public void othersAreLookedForOnlyByANodeThatHasLongBeenCutOff() {
+  public void onlyANodeCutOffForSecondsProbesItsPeers() {
     VirtualTimeScheduler clock = VirtualTimeScheduler.create();
-    AtomicInteger questions = new AtomicInteger();
+    AtomicInteger probes = new AtomicInteger();
     StatementProxyNode node =
         node(
             clock,
             (peer, message) -> {
               if (peer.equals(OTHER)) {
-                questions.incrementAndGet();
+                probes.incrementAndGet();
               }
             });
     node.start();
@@ -113,9 +113,9 @@
             .apply(new ClusterChange.NodeAdmitted(image(OTHER)));
     node.receive("10.0.0.1:1", new StoredImage(stored));
     clock.advanceTimeBy(Duration.ofMillis(2_000));
-    assertEquals(questions.get(), 0, "questions of a node that has just started");
+    assertEquals(probes.get(), 0, "probes of a node that has just started");
     clock.advanceTimeBy(Duration.ofMillis(2_000));
-    assertTrue(questions.get() > 0, "it looks for others after 3 s");
+    assertTrue(probes.get() > 0, "probes other nodes after 3 s");
   }
 
   private static KeyDigest key(String text) {
@@ -147,7 +147,7 @@
   }
 
   @Test
-  public void whatAKeyAllowsFollowsTheDocumentAlsoInOpenSessions() {
+  public void documentChangesApplyToKeysOfOpenSessions() {
     VirtualTimeScheduler clock = VirtualTimeScheduler.create();
     StatementProxyNode node = node(clock, (peer, message) -> {});
     ClusterImage first = ClusterImage.EMPTY.apply(document(1, "former"));
@@ -162,21 +162,22 @@
     assertTrue(caller.welcomed);
     session.receive(read("r1"));
     clock.advanceTimeBy(Duration.ofMillis(400));
-    assertEquals(caller.last, AnswerCode.BUSY, "the key counts, and no member is there");
+    assertEquals(caller.last, AnswerCode.BUSY, "the key is accepted, but there is no member");
     node.receive("10.0.0.1:1", new StoredImage(first.apply(document(2, "next"))));
     clock.advanceTimeBy(Duration.ofMillis(10));
     session.receive(read("r2"));
-    assertEquals(caller.last, AnswerCode.NOT_ALLOWED, "at once, in an open session");
+    assertEquals(
+        caller.last, AnswerCode.NOT_ALLOWED, "the key is refused at once in an open session");
     Caller later = new Caller();
     begin(node, later, "next");
-    assertTrue(later.welcomed, "a key that was added counts");
+    assertTrue(later.welcomed, "an added key is accepted");
   }
 
   @Test
-  public void whereRevocationIsStrictANodeWithoutNewsChecksNoKey() {
+  public void withStrictRevocationAnUnconfirmedNodeAcceptsNoKey() {
     VirtualTimeScheduler clock = VirtualTimeScheduler.create();
     StatementProxyNode node = node(clock, (peer, message) -> {});
-    node.trustKeysFor(4_000);
+    node.setKeyTrustMillis(4_000);
     node.receive("10.0.0.1:1", new StoredImage(ClusterImage.EMPTY.apply(document(1, "k"))));
     clock.advanceTimeBy(Duration.ofMillis(10));
     Caller caller = new Caller();
@@ -185,12 +186,12 @@
   }
 
   @Test
-  public void sessionsThatAreOpenedDuringAStopEndAtOnce() {
+  public void sessionsOpenedDuringAStopEndAtOnce() {
     StatementProxyNode node = node();
     Caller before = new Caller();
     node.open(before);
     node.beginStop();
-    assertFalse(before.closed, "callers are still sent here for a while");
+    assertFalse(before.closed, "the platform still sends callers for a while");
     node.drainSessions();
     assertTrue(before.closed);
     Caller after = new Caller();
--- a/server/src/test/java/org/streamcourse/process/StoredImageTest.java
+++ b/server/src/test/java/org/streamcourse/process/StoredImageTest.java
@@ -20,7 +20,9 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** After a start of all machines a node gets what was agreed before a leader is elected. */
+/**
+ * After a restart of the whole fleet, nodes receive the stored image before a leader is elected.
+ */
 public class StoredImageTest {
   private static final String NODE = "10.0.0.9:1";
 
@@ -42,11 +44,11 @@
             ControlSettings.DEFAULT,
             new Random(1));
     node.start();
-    pass(0);
+    advance(0);
     return node;
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     clock.advanceTimeBy(Duration.ofMillis(millis));
   }
 
@@ -55,7 +57,7 @@
         new RoutingDocument(
             version, List.of(), List.of(), SessionLimits.DEFAULT, List.of(), "v" + version);
     node.serviceCalls().execute(new ServiceCall.ReplaceDocument(document), result -> {});
-    pass(200);
+    advance(200);
   }
 
   private static NodeHeartbeat heartbeat(long version) {
@@ -65,11 +67,11 @@
 
   private ControllerNode restartAfterTwoChanges() {
     ControllerNode first = start();
-    pass(2_000);
+    advance(2_000);
     replace(first, 1);
     replace(first, 2);
     first.stop();
-    pass(10);
+    advance(10);
     sent.clear();
     return start();
   }
@@ -79,25 +81,25 @@
   }
 
   @Test
-  public void aNodeGetsWhatIsStoredAndThenWhatIsConfirmed() {
+  public void aNodeReceivesTheStoredImageAndThenTheConfirmedOne() {
     ControllerNode restarted = restartAfterTwoChanges();
     restarted.receive(NODE, heartbeat(0));
-    pass(1);
+    advance(1);
     assertEquals(sent(StoredImage.class).size(), 1);
     long stored = sent(StoredImage.class).get(0).image().document().version();
-    assertEquals(stored, 1, "the last change may not be known to be committed yet");
+    assertEquals(stored, 1, "the last change is not known to be committed yet");
 
-    pass(2_000);
+    advance(2_000);
     HeartbeatReply reply = sent(HeartbeatReply.class).get(0);
-    assertEquals(reply.sequence(), 1, "the heartbeat of before the election is answered");
+    assertEquals(reply.sequence(), 1, "the heartbeat sent before the election is answered");
     assertEquals(restarted.controller().image().document().version(), 2);
   }
 
   @Test
-  public void aNodeThatHasAnImageGetsNoStoredOne() {
+  public void aNodeWithAnImageReceivesNoStoredImage() {
     ControllerNode restarted = restartAfterTwoChanges();
     restarted.receive(NODE, heartbeat(1));
-    pass(1);
+    advance(1);
     assertEquals(sent(StoredImage.class), List.of());
   }
 }
