--- a/server/src/main/java/org/streamcourse/process/ControllerProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ControllerProcess.java
@@ -44,7 +44,7 @@
   /**
    * Creates the process's components.
    *
-   * @param settings checked settings
+   * @param settings validated settings
    * @param bootstrap whether an empty data folder belongs to a new fleet
    */
   public ControllerProcess(ControllerSettings settings, boolean bootstrap) {
--- a/server/src/main/java/org/streamcourse/process/PlatformList.java
+++ b/server/src/main/java/org/streamcourse/process/PlatformList.java
@@ -106,7 +106,7 @@
    * Finds the machines in state "leaving".
    *
    * @param list list of machines
-   * @return their addresses
+   * @return addresses of these machines
    * @throws IOException if the list has another format; the message names the entry
    */
   static Set<String> parse(JsonNode list) throws IOException {
--- a/server/src/main/java/org/streamcourse/process/ProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ProxyProcess.java
@@ -66,7 +66,7 @@
   /**
    * Creates the process's components.
    *
-   * @param settings checked settings
+   * @param settings validated settings
    */
   public ProxyProcess(ProxySettings settings) {
     this.settings = settings;
--- a/server/src/main/java/org/streamcourse/process/ServiceControllerProcess.java
+++ b/server/src/main/java/org/streamcourse/process/ServiceControllerProcess.java
@@ -38,7 +38,7 @@
   /**
    * Creates the process's components.
    *
-   * @param settings checked settings
+   * @param settings validated settings
    * @param loop event loop of the process
    * @param promotionAgent agent that promotes members
    * @param memberProtocol protocol of the members
--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -41,8 +41,8 @@
  *
  * <p>The node serves once the controllers have confirmed an image with a routing document, or once
  * a controller that has just started, or another proxy, has sent its stored image. It continues to
- * serve while it is cut off from the controllers, since members themselves enforce read floors, and
- * a replaced primary refuses writes.
+ * serve while it is cut off from the controllers, since log positions for read floors come from the
+ * members' own answers, and a replaced primary refuses writes.
  *
  * <p>All methods except the getters run on the node's worker.
  */
--- a/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
@@ -54,7 +54,7 @@
   /**
    * Creates the process's components.
    *
-   * @param settings checked settings
+   * @param settings validated settings
    * @param sessionProtocol protocol of the callers
    * @param memberProtocol protocol of the members
    */
--- a/server/src/main/java/org/streamcourse/process/settings/JsonFields.java
+++ b/server/src/main/java/org/streamcourse/process/settings/JsonFields.java
@@ -98,7 +98,7 @@
    */
   public static String text(JsonNode value, String path) {
     if (!value.isTextual() || value.asText().isEmpty()) {
-      throw new FormatException(path + ": must be a text that is not empty");
+      throw new FormatException(path + ": must be a non-empty string");
     }
     return value.asText();
   }
@@ -118,7 +118,7 @@
       return fallback;
     }
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
-      throw new FormatException(path + '.' + field + ": must be a whole number from 0");
+      throw new FormatException(path + '.' + field + ": must be a non-negative integer");
     }
     return value.asLong();
   }
@@ -138,7 +138,7 @@
       return fallback;
     }
     if (!value.isNumber() || !(value.asDouble() >= 0) || Double.isInfinite(value.asDouble())) {
-      throw new FormatException(path + '.' + field + ": must be a number from 0");
+      throw new FormatException(path + '.' + field + ": must be a non-negative number");
     }
     return value.asDouble();
   }
