--- a/server/src/main/java/org/streamcourse/process/StatementMetrics.java
+++ b/server/src/main/java/org/streamcourse/process/StatementMetrics.java
@@ -25,7 +25,9 @@
         "Version of the image in force.",
         () -> node.image().version());
     endpoint.gauge(
-        "streamcourse_reroutes", "Statements rerouted to another member.", log::reroutes);
+        "streamcourse_reroutes",
+        "Times a statement was rerouted to another member.",
+        log::reroutes);
     endpoint.gauge(
         "streamcourse_members_left_out",
         "Times a member was excluded from a read for its lag or for being unresponsive.",
@@ -44,11 +46,11 @@
         node::relayedStreams);
     endpoint.gauge(
         "streamcourse_other_holders",
-        "Statements sent to another holder after a first one.",
+        "Times a statement was sent to another holder.",
         log::holderRetries);
     endpoint.gauge(
         "streamcourse_refused_for_others",
-        "Other nodes' statements refused here for lack of a connection.",
+        "Other nodes' statements refused here for lack of a member connection.",
         log::refusedForOthers);
     addLinkMetrics(endpoint, node);
     addQuotaMetrics(endpoint, node);
