--- a/lab/src/main/java/org/streamcourse/lab/member/Engine.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/Engine.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.UUID;
 
-/** One in-memory database of the embedded engine; rebuilt from the log after a truncation. */
+/** In-memory H2 database of a member; rebuilt from the log after the log is truncated. */
 final class Engine {
-  /** Error code of the engine for a lock that was not got in time. */
+  /** H2 error code for a lock that was not acquired within the lock timeout. */
   static final int LOCK_TIMEOUT_ERROR = 50200;
 
   private static final String OPTIONS =
@@ -20,18 +20,18 @@
           + ";LOCK_TIMEOUT=2000;LAZY_QUERY_EXECUTION=1";
 
   private final String url = "jdbc:h2:mem:" + UUID.randomUUID() + OPTIONS;
-  private final Connection applying;
-  private final Map<String, Long> nextKeys = new HashMap<>();
+  private final Connection applyConnection;
+  private final Map<String, Long> nextKeyByTable = new HashMap<>();
 
   Engine() throws SQLException {
-    applying = connect();
-    try (Statement statement = applying.createStatement()) {
+    applyConnection = connect();
+    try (Statement statement = applyConnection.createStatement()) {
       statement.execute(
           "CREATE ALIAS IF NOT EXISTS pg_sleep FOR \""
               + EngineFunctions.class.getName()
               + ".sleep\"");
     }
-    applying.commit();
+    applyConnection.commit();
   }
 
   Connection connect() throws SQLException {
@@ -40,28 +40,31 @@
     return connection;
   }
 
-  /** Applies a record of the log; only one thread does so at a time. */
+  /** Applies a record of the log. Must not be called by several threads at a time. */
   void apply(LogRecord record) throws SQLException {
     for (LoggedStatement statement : record.statements()) {
       alignKey(statement.generatedKey());
     }
     for (LoggedStatement statement : record.statements()) {
-      try (PreparedStatement prepared = applying.prepareStatement(statement.sql())) {
+      try (PreparedStatement prepared = applyConnection.prepareStatement(statement.sql())) {
         bind(prepared, statement.parameters());
         prepared.execute();
       }
     }
-    applying.commit();
+    applyConnection.commit();
   }
 
-  /** Makes the next generated key equal to the primary's; gaps come from rolled back inserts. */
+  /**
+   * Makes the next generated key of this database equal to the primary's. The primary's keys have
+   * gaps where inserts were rolled back.
+   */
   private void alignKey(LoggedStatement.GeneratedKey key) throws SQLException {
     if (key == null) {
       return;
     }
-    Long expected = nextKeys.put(key.table(), key.value() + 1);
+    Long expected = nextKeyByTable.put(key.table(), key.value() + 1);
     if (expected == null || expected != key.value()) {
-      try (Statement statement = applying.createStatement()) {
+      try (Statement statement = applyConnection.createStatement()) {
         statement.execute(
             "ALTER TABLE "
                 + key.table()
@@ -75,9 +78,9 @@
 
   void rollback() {
     try {
-      applying.rollback();
+      applyConnection.rollback();
     } catch (SQLException e) {
-      throw new IllegalStateException("the engine can't roll back", e);
+      throw new IllegalStateException("H2 failed to roll back", e);
     }
   }
 
@@ -88,10 +91,10 @@
   }
 
   void close() {
-    try (Statement statement = applying.createStatement()) {
+    try (Statement statement = applyConnection.createStatement()) {
       statement.execute("SHUTDOWN IMMEDIATELY");
     } catch (SQLException e) {
-      // The database is in memory; what can't be closed is collected as garbage.
+      // The database is in memory; after a failed shutdown it is garbage collected.
     }
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/member/EngineFunctions.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/EngineFunctions.java
@@ -2,14 +2,14 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** SQL functions that the engine lacks; public, since the engine calls them by reflection. */
+/** SQL functions that H2 lacks. Public because H2 calls them by reflection. */
 public final class EngineFunctions {
   private EngineFunctions() {}
 
   /**
    * Body of the SQL function {@code pg_sleep}.
    *
-   * @param seconds how long to wait
+   * @param seconds time to wait
    * @return true
    * @throws InterruptedException when the statement is cancelled
    */
--- a/lab/src/main/java/org/streamcourse/lab/member/GroupFunctions.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/GroupFunctions.java
@@ -7,9 +7,9 @@
 import org.streamcourse.lab.member.Member.WrongRoleException;
 import org.streamcourse.version.control.MemberStatus;
 
-/** Functions through which a member's place in its group is told and changed. */
+/** SQL functions that return and change a member's role and term in its group. */
 final class GroupFunctions {
-  /** Columns of every function's row. */
+  /** Columns of the row that each of the functions returns. */
   static final List<String> COLUMNS =
       List.of("term", "role", "upstream", "received", "matched", "applied");
 
@@ -24,7 +24,7 @@
     return CALL.matcher(sql).matches();
   }
 
-  /** Carries out a call; returns its row. */
+  /** Executes a call and returns its row. */
   static List<String> call(Member member, String sql) throws SqlError {
     Matcher call = CALL.matcher(sql);
     if (!call.matches()) {
--- a/lab/src/main/java/org/streamcourse/lab/member/LogRecord.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/LogRecord.java
@@ -6,12 +6,12 @@
 /**
  * One committed transaction in the group's log.
  *
- * @param term term of the primary that wrote it
- * @param position place in the log, from 1
- * @param statements its writes in order
+ * @param term term of the primary that committed the transaction
+ * @param position offset in the log, starting at 1
+ * @param statements writes of the transaction in order
  */
 public record LogRecord(long term, long position, List<LoggedStatement> statements) {
-  TermPosition place() {
+  TermPosition termPosition() {
     return new TermPosition(term, position);
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/member/LoggedStatement.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/LoggedStatement.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * A statement as the log keeps it.
+ * A write statement as stored in the log.
  *
- * @param sql its text
- * @param parameters values in order
- * @param generatedKey column and first value that the primary generated, or null
+ * @param sql text of the statement in the dialect of H2
+ * @param parameters parameter values in order
+ * @param generatedKey first key that the primary generated for an INSERT, or null
  */
 public record LoggedStatement(String sql, List<Object> parameters, GeneratedKey generatedKey) {
   /**
-   * First key that an INSERT generated.
+   * First key that the primary generated for an INSERT.
    *
-   * @param table table's name
-   * @param column column's name
-   * @param value value
+   * @param table name of the table
+   * @param column name of the column
+   * @param value generated key
    */
   public record GeneratedKey(String table, String column, long value) {}
 }
--- a/lab/src/main/java/org/streamcourse/lab/member/Member.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/Member.java
@@ -17,12 +17,12 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * State of one member: its role in a term, its log and its database. One lock guards all of it;
- * commits of the primary are appended, synced and made visible under that lock, so the log's order
- * is the order of visibility.
+ * State of one member: its role in a term, its log and its database, all guarded by one lock. The
+ * primary appends, syncs and commits each transaction under that lock, so transactions become
+ * visible in the order of the log.
  */
 final class Member {
-  /** Thrown when the member may not do what was asked in its present role or term. */
+  /** Thrown when the role or the term of the member does not allow the requested operation. */
   static final class WrongRoleException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -31,13 +31,14 @@
     }
   }
 
-  /** Hears changes of the status and of the role. */
+  /** Is notified of changes of the member's status, role and database. */
   interface Listener {
-    void statusChanged(MemberStatus status);
+    void onStatusChanged(MemberStatus status);
 
-    void writersMustEnd();
+    /** The member has stopped being the primary: transactions with writes must end. */
+    void onPrimaryLost();
 
-    void databaseReplaced();
+    void onDatabaseReplaced();
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(Member.class);
@@ -64,7 +65,7 @@
     applier.start();
   }
 
-  void listen(Listener listener) {
+  void addListener(Listener listener) {
     listeners.add(listener);
   }
 
@@ -82,10 +83,10 @@
     }
   }
 
-  private void statusChanged() {
+  private void notifyStatusChanged() {
     changed.signalAll();
     MemberStatus status = status();
-    listeners.forEach(listener -> listener.statusChanged(status));
+    listeners.forEach(listener -> listener.onStatusChanged(status));
   }
 
   Connection connect() throws SQLException {
@@ -106,7 +107,7 @@
     }
   }
 
-  // ---- orders ----
+  // ---- orders of the controller ----
 
   MemberStatus fence(long term) throws WrongRoleException {
     lock.lock();
@@ -118,8 +119,8 @@
       if (!repeated) {
         log.saveTerm(term);
       }
-      leaveRole(MemberRole.FENCED, "");
-      LOG.info("fenced at term {} with log end {}", term, log.end());
+      changeRole(MemberRole.FENCED, "");
+      LOG.info("member is fenced at term {}, log end is {}", term, log.end());
       return status();
     } finally {
       lock.unlock();
@@ -137,8 +138,8 @@
         applyNext(true);
       }
       role = MemberRole.PRIMARY;
-      LOG.info("primary of term {} with log end {}", term, log.end());
-      statusChanged();
+      LOG.info("member is primary of term {}, log end is {}", term, log.end());
+      notifyStatusChanged();
       return status();
     } finally {
       lock.unlock();
@@ -150,16 +151,16 @@
     try {
       boolean primaryNow = role == MemberRole.PRIMARY && term == log.term();
       if (term < log.term() || primaryNow) {
-        throw new WrongRoleException("is " + role + " at term " + log.term());
+        throw new WrongRoleException("member is " + role + " at term " + log.term());
       }
       if (term > log.term()) {
         log.saveTerm(term);
       }
       if (role != MemberRole.REPLICA || !upstream.equals(primary)) {
-        leaveRole(MemberRole.REPLICA, primary);
-        LOG.info("follows {} at term {}", primary, term);
+        changeRole(MemberRole.REPLICA, primary);
+        LOG.info("member follows {} at term {}", primary, term);
       } else {
-        statusChanged();
+        notifyStatusChanged();
       }
       return status();
     } finally {
@@ -167,20 +168,20 @@
     }
   }
 
-  private void leaveRole(MemberRole next, String nextUpstream) {
+  private void changeRole(MemberRole next, String nextUpstream) {
     boolean wasPrimary = role == MemberRole.PRIMARY;
     role = next;
     upstream = nextUpstream;
     matched = TermPosition.ZERO;
     if (wasPrimary) {
-      listeners.forEach(Listener::writersMustEnd);
+      listeners.forEach(Listener::onPrimaryLost);
     }
-    statusChanged();
+    notifyStatusChanged();
   }
 
   // ---- the primary's commits ----
 
-  /** Logs a transaction's writes and commits it; returns its place. */
+  /** Appends a transaction's writes to the log and commits it; returns its log position. */
   TermPosition commit(Connection connection, List<LoggedStatement> statements)
       throws SQLException, WrongRoleException {
     lock.lock();
@@ -193,8 +194,8 @@
           new LogRecord(log.term(), log.end().position() + 1, new ArrayList<>(statements));
       log.append(List.of(record));
       connection.commit();
-      applied = record.place();
-      statusChanged();
+      applied = record.termPosition();
+      notifyStatusChanged();
       return applied;
     } finally {
       lock.unlock();
@@ -204,7 +205,10 @@
   // ---- replication ----
 
   /**
-   * Common end of this primary's log and a replica's, from the replica's last place of each term.
+   * Returns the last offset up to which this primary's log and a replica's log are equal.
+   *
+   * @param term term of the primary that the replica follows
+   * @param replicaTermEnds the replica's last offset of each term
    */
   long commonEnd(long term, Map<Long, Long> replicaTermEnds) throws WrongRoleException {
     lock.lock();
@@ -221,7 +225,7 @@
     }
   }
 
-  /** Waits for records after a position; empty after a while without any. */
+  /** Returns records after an offset; waits for them, and returns none after the given time. */
   List<LogRecord> recordsAfter(long term, long position, long waitMillis)
       throws WrongRoleException, InterruptedException {
     lock.lock();
@@ -239,11 +243,11 @@
 
   private void requirePrimary(long term) throws WrongRoleException {
     if (role != MemberRole.PRIMARY || term != log.term()) {
-      throw new WrongRoleException("is " + role + " at term " + log.term());
+      throw new WrongRoleException("member is " + role + " at term " + log.term());
     }
   }
 
-  /** What a replica asks its primary for; null while this member is no replica. */
+  /** Request that this replica sends to its primary; null while the member isn't a replica. */
   ReplicationRequest replicationRequest() {
     lock.lock();
     try {
@@ -258,22 +262,23 @@
   record ReplicationRequest(long term, String primary, Map<Long, Long> termEnds) {}
 
   /**
-   * Starts to follow at the common end; what lies after it was never acknowledged and is dropped.
+   * Starts to follow the primary at the common end of both logs. Drops the records after it: they
+   * were never acknowledged.
    */
   void startReplication(ReplicationRequest request, long commonEnd)
       throws WrongRoleException, SQLException {
     lock.lock();
     try {
-      requireSame(request);
+      requireStillFollowing(request);
       if (log.end().position() > commonEnd) {
-        LOG.info("drops records after {} of {}", commonEnd, log.end());
+        LOG.info("member drops log records after offset {}, log end was {}", commonEnd, log.end());
         log.truncateAfter(commonEnd);
         if (applied.position() > commonEnd) {
           rebuild();
         }
       }
       matched = log.end();
-      statusChanged();
+      notifyStatusChanged();
     } finally {
       lock.unlock();
     }
@@ -283,34 +288,34 @@
     engine.close();
     engine = new Engine();
     applied = TermPosition.ZERO;
-    listeners.forEach(Listener::databaseReplaced);
+    listeners.forEach(Listener::onDatabaseReplaced);
     while (!applied.equals(log.end())) {
       applyNext(true);
     }
   }
 
-  /** Takes records of the primary into the synced log. */
+  /** Appends records received from the primary to the log and syncs it. */
   void receive(ReplicationRequest request, List<LogRecord> records) throws WrongRoleException {
     lock.lock();
     try {
-      requireSame(request);
+      requireStillFollowing(request);
       log.append(records);
       matched = log.end();
       long now = nowMillis();
       records.forEach(record -> receivedAtMillis.put(record.position(), now));
-      statusChanged();
+      notifyStatusChanged();
     } finally {
       lock.unlock();
     }
   }
 
-  private void requireSame(ReplicationRequest request) throws WrongRoleException {
+  private void requireStillFollowing(ReplicationRequest request) throws WrongRoleException {
     boolean same =
         role == MemberRole.REPLICA
             && request.term() == log.term()
             && request.primary().equals(upstream);
     if (!same) {
-      throw new WrongRoleException("no longer follows " + request.primary());
+      throw new WrongRoleException("member no longer follows " + request.primary());
     }
   }
 
@@ -325,7 +330,7 @@
       lock.lock();
       try {
         if (role == MemberRole.PRIMARY || !applyNext(false)) {
-          changed.await(waitMillis(), TimeUnit.MILLISECONDS);
+          changed.await(applyWaitMillis(), TimeUnit.MILLISECONDS);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
@@ -335,33 +340,38 @@
     }
   }
 
-  private long waitMillis() {
+  private long applyWaitMillis() {
     return lagMillis > 0 ? 1 : 100;
   }
 
-  /** Applies the next record if there is one and, unless at once, its lag has passed. */
-  private boolean applyNext(boolean atOnce) {
+  /**
+   * Applies the next record if there is one and its lag has passed.
+   *
+   * @param ignoreLag whether to apply the record without waiting for the lag
+   * @return whether a record was applied
+   */
+  private boolean applyNext(boolean ignoreLag) {
     LogRecord next = log.at(applied.position() + 1);
     if (next == null) {
       return false;
     }
     long receivedAt = receivedAtMillis.getOrDefault(next.position(), 0L);
-    if (!atOnce && nowMillis() - receivedAt < lagMillis) {
+    if (!ignoreLag && nowMillis() - receivedAt < lagMillis) {
       return false;
     }
     try {
       engine.apply(next);
     } catch (SQLException e) {
       if (e.getErrorCode() == Engine.LOCK_TIMEOUT_ERROR) {
-        // A writer of the time as primary has not rolled back yet.
+        // A transaction from the time when this member was primary still holds the lock.
         engine.rollback();
         return false;
       }
-      throw new IllegalStateException("record " + next.place() + " can't be applied", e);
+      throw new IllegalStateException("failed to apply log record " + next.termPosition(), e);
     }
     receivedAtMillis.remove(next.position());
-    applied = next.place();
-    statusChanged();
+    applied = next.termPosition();
+    notifyStatusChanged();
     return true;
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/member/MemberLog.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/MemberLog.java
@@ -11,7 +11,7 @@
 import org.streamcourse.process.MessageCodec;
 import org.streamcourse.version.image.TermPosition;
 
-/** A member's synced copy of the group's log, and the newest term that it knows. */
+/** A member's copy of the group's log, synced to disk, and the latest term the member knows. */
 final class MemberLog {
   private static final String LOG_FILE = "log";
   private static final String TERM_FILE = "term";
@@ -57,12 +57,12 @@
       records.add(decode(payload));
       payload = buffer.hasRemaining() ? Frames.read(buffer) : null;
     }
-    if (all(records).length < content.length) {
+    if (encodeAll(records).length < content.length) {
       rewrite();
     }
   }
 
-  private static byte[] all(List<LogRecord> records) {
+  private static byte[] encodeAll(List<LogRecord> records) {
     ByteArrayOutputStream frames = new ByteArrayOutputStream();
     records.forEach(record -> frames.writeBytes(Frames.write(encode(record))));
     return frames.toByteArray();
@@ -78,16 +78,16 @@
   }
 
   TermPosition end() {
-    return records.isEmpty() ? TermPosition.ZERO : records.get(records.size() - 1).place();
+    return records.isEmpty() ? TermPosition.ZERO : records.get(records.size() - 1).termPosition();
   }
 
-  /** Appends records and syncs them once. */
+  /** Appends records with a single sync. */
   void append(List<LogRecord> added) {
-    disk.appendAndSync(LOG_FILE, all(added));
+    disk.appendAndSync(LOG_FILE, encodeAll(added));
     records.addAll(added);
   }
 
-  /** Record at a position, or null. */
+  /** Returns the record at an offset, or null. */
   LogRecord at(long position) {
     return position < 1 || position > records.size() ? null : records.get((int) position - 1);
   }
@@ -98,17 +98,17 @@
     return from >= to ? List.of() : List.copyOf(records.subList(from, to));
   }
 
-  /** Drops all records after a position. */
+  /** Drops all records after an offset. */
   void truncateAfter(long position) {
     records.subList((int) position, records.size()).clear();
     rewrite();
   }
 
   private void rewrite() {
-    disk.replace(LOG_FILE, all(records));
+    disk.replace(LOG_FILE, encodeAll(records));
   }
 
-  /** Last position of each term in the log. */
+  /** Returns the last offset of each term in the log. */
   Map<Long, Long> termEnds() {
     Map<Long, Long> ends = new TreeMap<>();
     records.forEach(record -> ends.put(record.term(), record.position()));
--- a/lab/src/main/java/org/streamcourse/lab/member/MemberServer.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/MemberServer.java
@@ -13,14 +13,14 @@
 import org.slf4j.LoggerFactory;
 import org.streamcourse.process.settings.HostPort;
 
-/** Accepts connections of a member, within its limits. */
+/** Accepts SQL connections to a member and enforces its limits. */
 final class MemberServer {
   /**
    * Limits and login of a member.
    *
-   * @param connections most connections
-   * @param slots most statements that run at the same time
-   * @param connectMillis time that a connect takes
+   * @param connections maximum number of connections
+   * @param slots maximum number of statements that run at the same time
+   * @param connectMillis simulated time to establish a connection
    * @param user user name
    * @param password password
    */
@@ -41,21 +41,21 @@
     this.member = member;
     this.limits = limits;
     this.slots = new Semaphore(limits.slots());
-    member.listen(
+    member.addListener(
         new Member.Listener() {
           @Override
-          public void statusChanged(org.streamcourse.version.control.MemberStatus status) {
-            sessions.values().forEach(session -> session.statusChanged(status));
+          public void onStatusChanged(org.streamcourse.version.control.MemberStatus status) {
+            sessions.values().forEach(session -> session.notifyStatus(status));
           }
 
           @Override
-          public void writersMustEnd() {
-            sessions.values().forEach(SqlSession::endIfWriting);
+          public void onPrimaryLost() {
+            sessions.values().forEach(SqlSession::closeIfWriting);
           }
 
           @Override
-          public void databaseReplaced() {
-            sessions.values().forEach(SqlSession::endIfUsingDatabase);
+          public void onDatabaseReplaced() {
+            sessions.values().forEach(SqlSession::closeIfUsingDatabase);
           }
         });
   }
@@ -77,7 +77,7 @@
         thread.setDaemon(true);
         thread.start();
       } catch (IOException e) {
-        LOG.warn("accept failed", e);
+        LOG.warn("SQL connection could not be accepted", e);
       }
     }
   }
@@ -90,7 +90,7 @@
     return limits;
   }
 
-  /** Takes one of the connections; false when all are in use. */
+  /** Counts a session as a connection; returns false when the connection limit is reached. */
   boolean admit(SqlSession session) {
     if (connections.incrementAndGet() > limits.connections()) {
       connections.decrementAndGet();
@@ -101,7 +101,7 @@
     return true;
   }
 
-  void ended(SqlSession session) {
+  void removeSession(SqlSession session) {
     if (sessions.remove(session.process()) != null) {
       connections.decrementAndGet();
     }
@@ -114,8 +114,11 @@
     }
   }
 
-  /** Takes a slot for one statement; an excess is the proxy's fault and is refused. */
-  void takeSlot() throws SqlError {
+  /**
+   * Acquires a slot for one statement. Refuses a statement beyond the slot limit: the proxy must
+   * not send it.
+   */
+  void acquireSlot() throws SqlError {
     if (!slots.tryAcquire()) {
       LOG.warn("slot limit {} exceeded", limits.slots());
       throw new SqlError("53000", "too many statements run at the same time");
@@ -123,12 +126,12 @@
     statementsRun.incrementAndGet();
   }
 
-  /** Number of callers' statements that were given a slot since the start. */
+  /** Number of callers' statements that acquired a slot since the server's start. */
   long statementsRun() {
     return statementsRun.get();
   }
 
-  void giveSlot() {
+  void releaseSlot() {
     slots.release();
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/member/Portal.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/Portal.java
@@ -8,7 +8,7 @@
 import org.streamcourse.connection.wire.Backend;
 import org.streamcourse.connection.wire.WireBuilder;
 
-/** A bound statement: runs it and sends its rows, possibly in several parts. */
+/** A bound statement. Executes it and sends its rows, in several parts if a row limit is set. */
 final class Portal {
   private final SqlText text;
   private final List<Object> parameters;
@@ -41,9 +41,9 @@
     } else if (text.keyword().equals("SHOW")) {
       sendTextRow(session, withColumns, List.of("setting"), List.of(session.shownValue(text)));
     } else if (text.isSession()) {
-      session.send(Backend.commandComplete(session.sessionStatement(text)));
+      session.send(Backend.commandComplete(session.executeSessionStatement(text)));
     } else if (text.isBegin() || text.isEnd()) {
-      session.send(Backend.commandComplete(session.transaction().control(text, session)));
+      session.send(Backend.commandComplete(session.transaction().executeControl(text, session)));
     } else {
       execute(session, withColumns, maxRows);
     }
@@ -62,7 +62,7 @@
   private void execute(SqlSession session, boolean withColumns, int maxRows)
       throws IOException, SqlError {
     Transaction transaction = session.transaction();
-    transaction.takeSlot();
+    transaction.acquireSlot();
     try {
       statement = transaction.execute(text, parameters);
       rows = statement.getResultSet();
@@ -78,7 +78,7 @@
     } catch (SQLException e) {
       throw SqlError.of(e);
     } finally {
-      transaction.giveSlot();
+      transaction.releaseSlot();
     }
   }
 
@@ -132,7 +132,7 @@
         statement.close();
       }
     } catch (SQLException e) {
-      // The connection is gone, and the statement with it.
+      // The connection is closed, which has closed the statement.
     }
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/member/Replication.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/Replication.java
@@ -22,54 +22,55 @@
 import org.streamcourse.version.control.MemberStatus;
 
 /**
- * Ships the log: a replica connects to its primary, says what it has, and receives what follows.
+ * Replicates the log: a replica connects to its primary, sends the last offset of each term in its
+ * own log, and receives the records after the common end of both logs.
  */
 final class Replication {
   private static final Logger LOG = LoggerFactory.getLogger(Replication.class);
-  private static final long IDLE_MILLIS = 200;
-  private static final int SILENCE_MILLIS = 2_000;
+  private static final long POLL_MILLIS = 200;
+  private static final int PRIMARY_TIMEOUT_MILLIS = 2_000;
   private static final long RETRY_MILLIS = 20;
 
   private final Member member;
   private final Map<String, HostPort> peers;
 
-  /** Guarded by this object: what is followed now, and over which connection. */
+  /** Current request to the primary and its connection; both are guarded by this object. */
   private ReplicationRequest followed;
 
-  private Socket following;
+  private Socket followedSocket;
 
   Replication(Member member, Map<String, HostPort> peers) {
     this.member = member;
     this.peers = peers;
-    member.listen(new RoleListener());
+    member.addListener(new RoleListener());
   }
 
-  /** Drops the connection to a primary at once when the member no longer follows it. */
+  /** Closes the connection to a primary as soon as the member no longer follows it. */
   private final class RoleListener implements Member.Listener {
     @Override
-    public void statusChanged(MemberStatus status) {
-      endUnlessFollowed(status);
+    public void onStatusChanged(MemberStatus status) {
+      closeUnlessFollowed(status);
     }
 
     @Override
-    public void writersMustEnd() {
-      // Concerns callers' sessions only.
+    public void onPrimaryLost() {
+      // Affects only the sessions of callers.
     }
 
     @Override
-    public void databaseReplaced() {
-      // Concerns callers' sessions only.
+    public void onDatabaseReplaced() {
+      // Affects only the sessions of callers.
     }
   }
 
-  private synchronized void endUnlessFollowed(MemberStatus status) {
+  private synchronized void closeUnlessFollowed(MemberStatus status) {
     boolean same =
         followed != null
             && status.role() == MemberRole.REPLICA
             && status.term() == followed.term()
             && status.upstream().equals(followed.primary());
     if (!same) {
-      closeQuietly(following);
+      closeQuietly(followedSocket);
       notifyAll();
     }
   }
@@ -84,12 +85,12 @@
     }
   }
 
-  private synchronized void nowFollows(ReplicationRequest request, Socket socket) {
+  private synchronized void setFollowed(ReplicationRequest request, Socket socket) {
     followed = request;
-    following = socket;
+    followedSocket = socket;
   }
 
-  /** Waits a while, or until the member's role changes. */
+  /** Waits for the retry delay, or until the member's role changes. */
   private synchronized void awaitChange() throws InterruptedException {
     wait(RETRY_MILLIS);
   }
@@ -114,7 +115,7 @@
         Socket socket = server.accept();
         daemon("replication-serve", () -> serve(socket));
       } catch (IOException e) {
-        LOG.warn("accept failed", e);
+        LOG.warn("replication connection could not be accepted", e);
       }
     }
   }
@@ -135,12 +136,12 @@
       out.writeLong(position);
       out.flush();
       while (true) {
-        List<LogRecord> records = member.recordsAfter(term, position, IDLE_MILLIS);
+        List<LogRecord> records = member.recordsAfter(term, position, POLL_MILLIS);
         writeRecords(out, records);
         position += records.size();
       }
     } catch (IOException | WrongRoleException e) {
-      LOG.debug("a replica's connection ends: {}", e.toString());
+      LOG.debug("connection of a replica ended: {}", e.toString());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -174,10 +175,10 @@
 
   private void follow(ReplicationRequest request, HostPort primary) {
     try (Socket socket = new Socket()) {
-      nowFollows(request, socket);
-      socket.connect(new InetSocketAddress(primary.host(), primary.port()), SILENCE_MILLIS);
+      setFollowed(request, socket);
+      socket.connect(new InetSocketAddress(primary.host(), primary.port()), PRIMARY_TIMEOUT_MILLIS);
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(SILENCE_MILLIS);
+      socket.setSoTimeout(PRIMARY_TIMEOUT_MILLIS);
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
       DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
       sendRequest(out, request);
@@ -189,11 +190,11 @@
         }
       }
     } catch (IOException | WrongRoleException e) {
-      LOG.debug("following {} ends: {}", request.primary(), e.toString());
+      LOG.debug("replication from {} ended: {}", request.primary(), e.toString());
     } catch (SQLException e) {
-      throw new IllegalStateException("the database can't be rebuilt", e);
+      throw new IllegalStateException("failed to rebuild the database from the log", e);
     } finally {
-      nowFollows(null, null);
+      setFollowed(null, null);
     }
   }
 
--- a/lab/src/main/java/org/streamcourse/lab/member/SqlError.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/SqlError.java
@@ -3,10 +3,10 @@
 import java.sql.SQLException;
 import java.util.Map;
 
-/** An error for the client, with the SQLSTATE that PostgreSQL uses. */
+/** Error sent to the client, with the SQLSTATE that PostgreSQL uses for it. */
 final class SqlError extends Exception {
   private static final long serialVersionUID = 1;
-  private static final Map<String, String> STATES =
+  private static final Map<String, String> POSTGRES_STATE_BY_H2_STATE =
       Map.of(
           "42S02", "42P01",
           "42S01", "42P07",
@@ -27,7 +27,7 @@
 
   static SqlError of(SQLException e) {
     String state = e.getSQLState() == null ? "XX000" : e.getSQLState();
-    return new SqlError(STATES.getOrDefault(state, state), e.getMessage());
+    return new SqlError(POSTGRES_STATE_BY_H2_STATE.getOrDefault(state, state), e.getMessage());
   }
 
   String sqlState() {
--- a/lab/src/main/java/org/streamcourse/lab/member/SqlSession.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/SqlSession.java
@@ -20,10 +20,11 @@
 import org.streamcourse.version.control.MemberStatus;
 
 /**
- * One connection to a member: protocol, login and messages; statements run in {@link Transaction}.
+ * One client connection to a member. Handles login and protocol messages; {@link Transaction} runs
+ * the statements.
  */
 final class SqlSession implements Runnable {
-  /** Connections to this database are the lab's own and count against no limit. */
+  /** Database name of connections of the lab itself, which count against no limit. */
   static final String LAB_DATABASE = "lab";
 
   private static final int MAX_MESSAGE_BYTES = 512 * 1024 * 1024;
@@ -33,7 +34,7 @@
 
   private final Socket socket;
 
-  /** Shows how many of callers' statements the member has run. */
+  /** Returns the number of callers' statements that the member has run. */
   private static final String SHOW_STATEMENTS = "SHOW lab_statements";
 
   private final MemberServer server;
@@ -61,7 +62,7 @@
     return secret;
   }
 
-  void statusChanged(MemberStatus status) {
+  void notifyStatus(MemberStatus status) {
     StatusNotifier current = notifier;
     if (current != null) {
       current.offer(status);
@@ -72,13 +73,13 @@
     transaction.cancel();
   }
 
-  void endIfWriting() {
+  void closeIfWriting() {
     if (transaction != null && transaction.hasWrites()) {
       closeSocket();
     }
   }
 
-  void endIfUsingDatabase() {
+  void closeIfUsingDatabase() {
     if (notifier == null) {
       closeSocket();
     }
@@ -88,7 +89,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // It is closed already.
+      // The socket is already closed.
     }
   }
 
@@ -102,7 +103,7 @@
         serve();
       }
     } catch (IOException e) {
-      // The client is gone; what it had open is rolled back below.
+      // The client has disconnected; its open transaction is rolled back below.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
@@ -112,7 +113,7 @@
       if (notifier != null) {
         notifier.stop();
       }
-      server.ended(this);
+      server.removeSession(this);
     }
   }
 
@@ -139,8 +140,8 @@
       break;
     }
     TimeUnit.MILLISECONDS.sleep(server.limits().connectMillis());
-    boolean ofLab = LAB_DATABASE.equals(startup.get("database"));
-    if (!ofLab && !server.admit(this)) {
+    boolean fromLab = LAB_DATABASE.equals(startup.get("database"));
+    if (!fromLab && !server.admit(this)) {
       fatal("53300", "too many connections");
       return false;
     }
@@ -155,11 +156,11 @@
       return false;
     }
     transaction = new Transaction(server);
-    welcome();
+    sendLoginComplete();
     return true;
   }
 
-  private void welcome() throws IOException {
+  private void sendLoginComplete() throws IOException {
     send(Backend.authenticationOk());
     send(Backend.parameterStatus("server_version", "15.0"));
     send(Backend.parameterStatus("client_encoding", "UTF8"));
@@ -182,7 +183,7 @@
     byte type = in.readByte();
     int length = in.readInt();
     if (length < Integer.BYTES || length > MAX_MESSAGE_BYTES) {
-      throw new IOException("message length " + length);
+      throw new IOException("message length " + length + " is invalid");
     }
     ByteBuffer whole = ByteBuffer.allocate(1 + length);
     whole.put(type).putInt(length).put(in.readNBytes(length - Integer.BYTES));
@@ -232,7 +233,7 @@
         default -> throw new SqlError("08P01", "unexpected message " + message.type());
       }
     } catch (SqlError e) {
-      transaction.failed();
+      transaction.fail();
       send(Backend.error("ERROR", e.sqlState(), String.valueOf(e.getMessage()), "", ""));
       if (message.type() == Frontend.QUERY || message.type() == Frontend.SYNC) {
         ready();
@@ -287,21 +288,22 @@
   private void bind(WireMessage.Reader body) throws IOException, SqlError {
     String portalName = body.text();
     Prepared statement = statement(body.text());
-    int[] parameterFormats = shorts(body);
+    int[] parameterFormats = readInt16s(body);
     int count = body.int16();
     java.util.ArrayList<Object> parameters = new java.util.ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       int oid = i < statement.parameterOids().length ? statement.parameterOids()[i] : 0;
       parameters.add(WireTypes.decode(body.value(), oid, formatOf(parameterFormats, i) == 1));
     }
-    Portal old = portals.put(portalName, new Portal(statement.text(), parameters, shorts(body)));
+    Portal old =
+        portals.put(portalName, new Portal(statement.text(), parameters, readInt16s(body)));
     if (old != null) {
       old.close();
     }
     send(Backend.empty(Backend.BIND_COMPLETE));
   }
 
-  private static int[] shorts(WireMessage.Reader body) {
+  private static int[] readInt16s(WireMessage.Reader body) {
     int[] values = new int[body.int16()];
     for (int i = 0; i < values.length; i++) {
       values[i] = body.int16();
@@ -369,15 +371,18 @@
     return server.member();
   }
 
-  /** Answers SHOW; one name tells what the member has run, for tests. */
+  /**
+   * Value that SHOW returns; tests read the number of statements run through {@code
+   * lab_statements}.
+   */
   String shownValue(SqlText text) {
     return text.sql().equalsIgnoreCase(SHOW_STATEMENTS)
         ? Long.toString(server.statementsRun())
         : text.shownValue();
   }
 
-  /** Carries out a statement about the session itself; returns its tag. */
-  String sessionStatement(SqlText text) {
+  /** Executes a statement that changes session state, such as SET; returns its command tag. */
+  String executeSessionStatement(SqlText text) {
     switch (text.keyword()) {
       case "LISTEN" -> {
         notifier = new StatusNotifier();
@@ -389,13 +394,13 @@
         portals.clear();
       }
       default -> {
-        // Parameters have no effect in the stand-in.
+        // Session parameters have no effect in the stand-in.
       }
     }
     return text.keyword().equals("DISCARD") ? "DISCARD ALL" : text.keyword();
   }
 
-  /** Sends status notifications from a thread of its own, the newest only. */
+  /** Sends the latest status to the client from a separate thread; skips statuses in between. */
   private final class StatusNotifier {
     private final Thread thread = new Thread(this::run, "notify-" + process);
     private MemberStatus next;
--- a/lab/src/main/java/org/streamcourse/lab/member/SqlText.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/SqlText.java
@@ -7,7 +7,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the stand-in needs to know of a statement's text, and its form for the engine. */
+/** Text of a statement: its classification by keyword and its translation for H2. */
 final class SqlText {
   private static final String ISOLATION = "read committed";
   private static final Set<String> READS =
@@ -72,7 +72,7 @@
     return DEFINITIONS.contains(keyword);
   }
 
-  /** Whether it changes data or definitions, so that it belongs into the log. */
+  /** Whether the statement changes data or definitions and must be written to the log. */
   boolean isLogged() {
     return !isRead()
         && !READS.contains(keyword)
@@ -87,8 +87,8 @@
     return insert.lookingAt() ? insert.group(1) : null;
   }
 
-  /** Text for the engine, which knows neither RETURNING nor numbered parameters with a dollar. */
-  String forEngine() {
+  /** Text for H2, which supports neither RETURNING nor parameters of the form {@code $1}. */
+  String toH2() {
     String text = NUMBERED.matcher(sql).replaceAll("?$1");
     Matcher returning = RETURNING.matcher(text);
     if (!returning.matches()) {
@@ -104,7 +104,7 @@
         + ")";
   }
 
-  /** Splits a text at semicolons outside of quotes and comments. */
+  /** Splits a text at semicolons outside of quotes. */
   static List<SqlText> split(String text) {
     List<SqlText> statements = new ArrayList<>();
     int start = 0;
@@ -125,7 +125,7 @@
     return statements;
   }
 
-  /** Value that a SHOW statement returns; parameters that are not kept show as empty. */
+  /** Value that a SHOW statement returns; empty for parameters that the stand-in does not store. */
   String shownValue() {
     String parameter = sql.toLowerCase(java.util.Locale.ROOT);
     return parameter.contains("isolation") ? ISOLATION : "";
--- a/lab/src/main/java/org/streamcourse/lab/member/Transaction.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/Transaction.java
@@ -16,7 +16,7 @@
 import org.streamcourse.lab.member.Member.WrongRoleException;
 import org.streamcourse.version.image.TermPosition;
 
-/** A session's use of the engine: its transaction, its writes for the log, its slot. */
+/** Transaction state of a session: its H2 connection, and its writes for the log. */
 final class Transaction {
   private static final String READ_ONLY = "25006";
   private static final String ABORTED = "25P02";
@@ -51,12 +51,12 @@
     return connection;
   }
 
-  void takeSlot() throws SqlError {
-    server.takeSlot();
+  void acquireSlot() throws SqlError {
+    server.acquireSlot();
   }
 
-  void giveSlot() {
-    server.giveSlot();
+  void releaseSlot() {
+    server.releaseSlot();
   }
 
   void cancel() {
@@ -66,7 +66,7 @@
         current.cancel();
       }
     } catch (SQLException e) {
-      // It has ended by itself.
+      // The statement has already ended.
     }
   }
 
@@ -82,7 +82,7 @@
     }
     try {
       if (text.isDefinition() && explicit) {
-        // The engine commits at a definition, so what came before goes into the log first.
+        // H2 commits before a definition, so earlier writes must be logged first.
         commitWrites(null);
       }
       PreparedStatement statement = prepare(text);
@@ -93,7 +93,7 @@
       if (logged) {
         writes.add(
             new LoggedStatement(
-                text.forEngine(), new ArrayList<>(parameters), generatedKey(text, statement)));
+                text.toH2(), new ArrayList<>(parameters), generatedKey(text, statement)));
       }
       return statement;
     } catch (SQLException e) {
@@ -106,15 +106,15 @@
   }
 
   private PreparedStatement prepare(SqlText text) throws SQLException {
-    return text.insertTable() != null && text.forEngine().startsWith("INSERT")
-        ? connection().prepareStatement(text.forEngine(), Statement.RETURN_GENERATED_KEYS)
-        : connection().prepareStatement(text.forEngine());
+    return text.insertTable() != null && text.toH2().startsWith("INSERT")
+        ? connection().prepareStatement(text.toH2(), Statement.RETURN_GENERATED_KEYS)
+        : connection().prepareStatement(text.toH2());
   }
 
-  /** First generated number of an INSERT; replicas set their key generators by it. */
+  /** Returns the first generated key of an INSERT; replicas set their key generators to it. */
   private static LoggedStatement.GeneratedKey generatedKey(
       SqlText text, PreparedStatement statement) throws SQLException {
-    if (text.insertTable() == null || !text.forEngine().startsWith("INSERT")) {
+    if (text.insertTable() == null || !text.toH2().startsWith("INSERT")) {
       return null;
     }
     try (ResultSet keys = statement.getGeneratedKeys()) {
@@ -134,8 +134,8 @@
 
   // ---- transaction ----
 
-  /** Carries out BEGIN, COMMIT or ROLLBACK; returns its tag. */
-  String control(SqlText text, SqlSession session) throws SqlError, IOException {
+  /** Executes BEGIN, COMMIT or ROLLBACK; returns its command tag. */
+  String executeControl(SqlText text, SqlSession session) throws SqlError, IOException {
     if (text.isBegin()) {
       explicit = true;
       return "BEGIN";
@@ -150,7 +150,7 @@
     return commits ? "COMMIT" : "ROLLBACK";
   }
 
-  /** Commits what ran outside of an explicit transaction. */
+  /** Commits statements that ran outside of an explicit transaction. */
   void endImplicit(SqlSession session) throws SqlError, IOException {
     if (explicit) {
       return;
@@ -162,7 +162,7 @@
     }
   }
 
-  void failed() {
+  void fail() {
     aborted = true;
     if (!explicit) {
       rollback();
@@ -202,7 +202,7 @@
         connection.rollback();
       }
     } catch (SQLException e) {
-      // The database was replaced or closed; nothing of the transaction is left.
+      // The database was replaced or closed, which has discarded the transaction.
     }
   }
 
@@ -213,14 +213,14 @@
         connection.close();
       }
     } catch (SQLException e) {
-      // Already gone.
+      // The connection is already closed.
     }
   }
 
   // ---- descriptions ----
 
   int[] parameterOids(SqlText text, int[] given) throws SqlError {
-    try (PreparedStatement statement = connection().prepareStatement(text.forEngine())) {
+    try (PreparedStatement statement = connection().prepareStatement(text.toH2())) {
       ParameterMetaData parameters = statement.getParameterMetaData();
       int[] oids = new int[parameters.getParameterCount()];
       for (int i = 0; i < oids.length; i++) {
@@ -249,7 +249,7 @@
     if (aborted && explicit) {
       throw new SqlError(ABORTED, "current transaction is aborted");
     }
-    try (PreparedStatement statement = connection().prepareStatement(text.forEngine())) {
+    try (PreparedStatement statement = connection().prepareStatement(text.toH2())) {
       ResultSetMetaData columns = statement.getMetaData();
       return columns == null ? Backend.empty(Backend.NO_DATA) : columns(columns, formats);
     } catch (SQLException e) {
--- a/lab/src/main/java/org/streamcourse/lab/member/WireTypes.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/WireTypes.java
@@ -19,7 +19,7 @@
 import java.util.HexFormat;
 import java.util.UUID;
 
-/** Types of the wire protocol and their text and binary forms. */
+/** PostgreSQL type OIDs, and conversion of values from and to their text and binary formats. */
 final class WireTypes {
   static final int BOOL = 16;
   static final int BYTEA = 17;
@@ -156,7 +156,9 @@
         .array();
   }
 
-  /** Digits in base 10,000 with the weight of the first one, as the protocol has it. */
+  /**
+   * Encodes a number as base-10,000 digits with the weight of the first digit, as PostgreSQL does.
+   */
   private static byte[] numeric(BigDecimal number) {
     int scale = Math.max(0, number.scale());
     int padded = (scale + NUMERIC_DIGITS - 1) / NUMERIC_DIGITS * NUMERIC_DIGITS;
--- a/lab/src/main/java/org/streamcourse/lab/member/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Stand-in for a database group: members with a synced log, terms, replication, fencing and
- * promotion, that speak the PostgreSQL protocol in front of the embedded H2 engine.
+ * Stand-in for a group of database servers. Each member speaks the PostgreSQL protocol in front of
+ * an embedded H2 database and has a log synced to disk, terms, replication, fencing and promotion.
  *
- * <p>Replication is by statement in commit order, with the first generated key of each table, so
- * replicas give the same rows as long as statements do not depend on the clock or on chance.
+ * <p>Replication is statement-based, in commit order, and carries the first generated key of each
+ * INSERT. Replicas return the same rows as the primary as long as statements depend neither on the
+ * clock nor on random values.
  */
 package org.streamcourse.lab.member;
