--- a/lab/src/main/java/org/streamcourse/lab/relay/Relay.java
+++ b/lab/src/main/java/org/streamcourse/lab/relay/Relay.java
@@ -21,16 +21,16 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * Forwards one port to one address. Each direction has a constant one-way delay, so the order of
- * bytes is kept. While the relay is cut, nothing passes and no connection breaks: the sides notice
- * only silence, as in a network partition; what was sent meanwhile passes after {@link #heal()}.
+ * TCP relay that forwards one port to one address with a one-way delay in each direction and keeps
+ * the order of bytes. While the relay is cut, it forwards nothing and closes no connection, as in a
+ * network partition; it forwards bytes received during the cut after {@link #heal()}.
  */
 public final class Relay {
   /** One of the two directions of every connection. */
   public enum Direction {
-    /** From whoever connects to the address that is forwarded to. */
+    /** From the client to the target address. */
     TO_TARGET,
-    /** From the address that is forwarded to back to whoever connected. */
+    /** From the target address to the client. */
     FROM_TARGET
   }
 
@@ -46,12 +46,12 @@
   private final AtomicLong forwarders = new AtomicLong();
   private volatile Set<Direction> cut = Set.of();
   private volatile long extraDelayMicros;
-  private volatile long stuckUpTo;
+  private volatile long lastStuckForwarder;
 
   /**
    * Opens a relay.
    *
-   * @param listen address to listen at
+   * @param listen address to listen on
    * @param target address to forward to
    * @param delayMicros one-way delay in microseconds
    * @param loops event loops
@@ -71,82 +71,83 @@
             .bindNow();
   }
 
-  /** Lets nothing pass any more, silently. */
+  /** Stops forwarding in both directions without closing connections. */
   public void cut() {
     cut = Set.of(Direction.values());
   }
 
   /**
-   * Lets nothing pass in one direction any more, silently.
+   * Stops forwarding in one direction without closing connections. The other direction is
+   * forwarded.
    *
-   * @param direction what is held back; the other direction passes
+   * @param direction direction to cut
    */
   public void cut(Direction direction) {
     cut = Set.of(direction);
   }
 
   /**
-   * Adds to the delay of what is sent from now on.
+   * Sets an additional delay for bytes received from now on.
    *
-   * @param micros further one-way delay in microseconds, 0 for none
+   * @param micros additional one-way delay in microseconds, 0 for none
    */
   public void setExtraDelayMicros(long micros) {
     extraDelayMicros = micros;
   }
 
-  /** Lets everything pass again. */
+  /** Resumes forwarding on all connections. */
   public void heal() {
     cut = Set.of();
   }
 
   /**
-   * Lets new connections pass again; those of before stay silent, as when the sender's machine has
-   * stopped trying for a while.
+   * Resumes forwarding on new connections only. Existing connections stay cut, as when the sender's
+   * host has stopped retransmitting for a while.
    */
   public void healNewConnectionsOnly() {
-    stuckUpTo = forwarders.get();
+    lastStuckForwarder = forwarders.get();
     cut = Set.of();
   }
 
-  /** Breaks all connections that pass through. */
+  /** Closes all connections through the relay. */
   public void breakConnections() {
     channels.forEach(Channel::close);
   }
 
-  /** Closes the relay. */
+  /** Closes the relay and all connections through it. */
   public void close() {
     server.disposeNow();
     breakConnections();
   }
 
   private void accept(Connection accepted) {
-    Channel near = accepted.channel();
-    channels.add(near);
-    near.closeFuture().addListener(any -> channels.remove(near));
+    Channel clientChannel = accepted.channel();
+    channels.add(clientChannel);
+    clientChannel.closeFuture().addListener(any -> channels.remove(clientChannel));
     TcpClient.newConnection()
         .host(target.host())
         .port(target.port())
         .runOn(loops, false)
         .option(ChannelOption.TCP_NODELAY, true)
         .connect()
-        .subscribe(opened -> join(accepted, opened), any -> near.close());
+        .subscribe(opened -> connectBoth(accepted, opened), any -> clientChannel.close());
   }
 
-  private void join(Connection accepted, Connection opened) {
-    Channel near = accepted.channel();
-    Channel far = opened.channel();
-    channels.add(far);
-    far.closeFuture().addListener(any -> channels.remove(far));
-    accepted.addHandlerLast(FORWARD, new Forwarder(far, Direction.TO_TARGET));
-    opened.addHandlerLast(FORWARD, new Forwarder(near, Direction.FROM_TARGET));
-    near.config().setAutoRead(true);
-    far.config().setAutoRead(true);
-    if (!near.isActive()) {
-      far.close();
+  private void connectBoth(Connection accepted, Connection opened) {
+    Channel clientChannel = accepted.channel();
+    Channel targetChannel = opened.channel();
+    channels.add(targetChannel);
+    targetChannel.closeFuture().addListener(any -> channels.remove(targetChannel));
+    accepted.addHandlerLast(FORWARD, new Forwarder(targetChannel, Direction.TO_TARGET));
+    opened.addHandlerLast(FORWARD, new Forwarder(clientChannel, Direction.FROM_TARGET));
+    clientChannel.config().setAutoRead(true);
+    targetChannel.config().setAutoRead(true);
+    if (!clientChannel.isActive()) {
+      targetChannel.close();
     }
   }
 
-  /** Bytes, or the end of the stream when there are none, and when they may pass. */
+  /** Bytes and the time to forward them; no bytes mark the end of the stream. */
   private record Delayed(ByteBuf bytes, long dueNanos) {
     boolean isEnd() {
       return !bytes.isReadable();
@@ -154,20 +155,20 @@
   }
 
   /**
-   * Passes what one side sends on to the other after the delay. All that waits stands in one queue,
-   * whose head alone is looked at, so a cut can't change the order. Runs on the sender's event
-   * loop.
+   * Forwards bytes from one side of a connection to the other after the delay. All delayed bytes
+   * are in one queue and only its head is forwarded, so a cut can't change the order. Runs on the
+   * event loop of the side that sends.
    */
   private final class Forwarder extends ChannelInboundHandlerAdapter {
-    private final Channel to;
+    private final Channel destination;
     private final Direction direction;
     private final Deque<Delayed> queue = new ArrayDeque<>();
     private final long number = forwarders.incrementAndGet();
-    private boolean pumping;
+    private boolean forwardScheduled;
     private int delayedBytes;
 
-    Forwarder(Channel to, Direction direction) {
-      this.to = to;
+    Forwarder(Channel destination, Direction direction) {
+      this.destination = destination;
       this.direction = direction;
     }
 
@@ -189,44 +190,45 @@
     private void enqueue(ChannelHandlerContext context, ByteBuf bytes) {
       long delayNanos = TimeUnit.MICROSECONDS.toNanos(delayMicros + extraDelayMicros);
       queue.add(new Delayed(bytes, System.nanoTime() + delayNanos));
-      if (!pumping) {
-        pumping = true;
-        pumpAfter(context, delayNanos);
+      if (!forwardScheduled) {
+        forwardScheduled = true;
+        scheduleForwardDue(context, delayNanos);
       }
     }
 
-    private void pumpAfter(ChannelHandlerContext context, long nanos) {
-      context.executor().schedule(() -> pump(context), nanos, TimeUnit.NANOSECONDS);
+    private void scheduleForwardDue(ChannelHandlerContext context, long nanos) {
+      context.executor().schedule(() -> forwardDue(context), nanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Passes all that is due, and looks again when the next is. */
-    private void pump(ChannelHandlerContext context) {
+    /** Forwards all bytes that are due, and reschedules itself for the next ones. */
+    private void forwardDue(ChannelHandlerContext context) {
       while (!queue.isEmpty()) {
-        long early = queue.peek().dueNanos() - System.nanoTime();
-        if (early > 0) {
-          pumpAfter(context, early);
+        long remainingNanos = queue.peek().dueNanos() - System.nanoTime();
+        if (remainingNanos > 0) {
+          scheduleForwardDue(context, remainingNanos);
           return;
         }
-        if ((cut.contains(direction) || number <= stuckUpTo) && to.isActive()) {
-          pumpAfter(context, TimeUnit.MILLISECONDS.toNanos(CUT_POLL_MILLIS));
+        if ((cut.contains(direction) || number <= lastStuckForwarder) && destination.isActive()) {
+          scheduleForwardDue(context, TimeUnit.MILLISECONDS.toNanos(CUT_POLL_MILLIS));
           return;
         }
-        pass(context, queue.poll());
+        forward(context, queue.poll());
       }
-      pumping = false;
+      forwardScheduled = false;
     }
 
-    private void pass(ChannelHandlerContext context, Delayed next) {
+    private void forward(ChannelHandlerContext context, Delayed next) {
       if (next.isEnd()) {
-        to.writeAndFlush(next.bytes()).addListener(ChannelFutureListener.CLOSE);
+        destination.writeAndFlush(next.bytes()).addListener(ChannelFutureListener.CLOSE);
         return;
       }
       int size = next.bytes().readableBytes();
-      to.writeAndFlush(next.bytes())
-          .addListener(any -> context.executor().execute(() -> passed(context, size)));
+      destination
+          .writeAndFlush(next.bytes())
+          .addListener(any -> context.executor().execute(() -> onForwarded(context, size)));
     }
 
-    private void passed(ChannelHandlerContext context, int size) {
+    private void onForwarded(ChannelHandlerContext context, int size) {
       delayedBytes -= size;
       if (delayedBytes <= MAX_DELAYED_BYTES / 2) {
         context.channel().config().setAutoRead(true);
--- a/lab/src/main/java/org/streamcourse/lab/relay/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/relay/package-info.java
@@ -1,2 +1,2 @@
-/** A relay that adds latency to TCP connections and cuts them off on command. */
+/** A TCP relay that adds latency to connections and simulates network partitions. */
 package org.streamcourse.lab.relay;
--- a/lab/src/test/java/org/streamcourse/lab/relay/RelayTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/relay/RelayTest.java
@@ -19,24 +19,24 @@
 import org.testng.annotations.Test;
 import reactor.netty.resources.LoopResources;
 
-/** A relay delays and holds bytes as a network does: never out of order, never after the end. */
+/** Guards against a relay that reorders bytes, or forwards the end of the stream before them. */
 public class RelayTest {
   private static final String LOOPBACK = "127.0.0.1";
   private static final int NUMBERS = 300;
-  private static final int ANSWER_TIMEOUT_MILLIS = 60_000;
+  private static final int READ_TIMEOUT_MILLIS = 60_000;
 
   private final Ports ports = new Ports();
   private LoopResources loops;
   private ServerSocket target;
   private Relay relay;
-  private HostPort entrance;
+  private HostPort relayAddress;
 
   @BeforeClass
   public void open() throws IOException {
     loops = LoopResources.create("relay-test", 2, true);
     target = new ServerSocket(0, 16, InetAddress.getByName(LOOPBACK));
-    entrance = ports.next();
-    relay = new Relay(entrance, new HostPort(LOOPBACK, target.getLocalPort()), 1_500, loops);
+    relayAddress = ports.next();
+    relay = new Relay(relayAddress, new HostPort(LOOPBACK, target.getLocalPort()), 1_500, loops);
   }
 
   @AfterClass(alwaysRun = true)
@@ -47,15 +47,15 @@
     ports.close();
   }
 
-  /** What was sent before, during and after a cut, and the end itself, arrive in this order. */
+  /** Bytes sent before, during and after a cut arrive in this order, and before the end. */
   @Test
   public void keepsTheOrderOfBytesAcrossACut() throws Exception {
     List<Integer> sent = IntStream.range(0, NUMBERS).boxed().toList();
-    try (Socket near = new Socket(entrance.host(), entrance.port());
-        Socket far = target.accept()) {
-      far.setSoTimeout(ANSWER_TIMEOUT_MILLIS);
-      near.setTcpNoDelay(true);
-      DataOutputStream out = new DataOutputStream(near.getOutputStream());
+    try (Socket client = new Socket(relayAddress.host(), relayAddress.port());
+        Socket accepted = target.accept()) {
+      accepted.setSoTimeout(READ_TIMEOUT_MILLIS);
+      client.setTcpNoDelay(true);
+      DataOutputStream out = new DataOutputStream(client.getOutputStream());
       for (int number : sent) {
         if (number == NUMBERS / 3) {
           relay.cut();
@@ -65,8 +65,8 @@
         out.writeInt(number);
         TimeUnit.MILLISECONDS.sleep(1);
       }
-      near.close();
-      byte[] bytes = new DataInputStream(far.getInputStream()).readAllBytes();
+      client.close();
+      byte[] bytes = new DataInputStream(accepted.getInputStream()).readAllBytes();
       DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
       List<Integer> received =
           IntStream.range(0, bytes.length / Integer.BYTES).mapToObj(any -> read(in)).toList();
