--- a/lab/src/main/java/org/streamcourse/lab/member/MemberCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/member/MemberCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one member of a stand-in group as a process. */
+/** Runs one member of a stand-in database group as a process. */
 @Command(
     name = "member",
     mixinStandardHelpOptions = true,
@@ -18,25 +18,40 @@
   @Option(names = "--listen", required = true, description = "Address for SQL, IP:PORT.")
   private String listen;
 
-  @Option(names = "--replication", required = true, description = "Address for the log, IP:PORT.")
+  @Option(
+      names = "--replication",
+      required = true,
+      description = "Address for replication, IP:PORT.")
   private String replication;
 
   @Option(names = "--data", required = true, description = "Data folder.")
   private Path data;
 
-  @Option(names = "--peer", description = "Another member's log, NAME=IP:PORT.")
+  @Option(names = "--peer", description = "Replication address of another member, NAME=IP:PORT.")
   private Map<String, String> peers = new TreeMap<>();
 
-  @Option(names = "--connections", defaultValue = "40", description = "Most connections.")
+  @Option(
+      names = "--connections",
+      defaultValue = "40",
+      description = "Maximum number of connections.")
   private int connections;
 
-  @Option(names = "--slots", defaultValue = "5", description = "Most running statements.")
+  @Option(
+      names = "--slots",
+      defaultValue = "5",
+      description = "Maximum number of running statements.")
   private int slots;
 
-  @Option(names = "--connect-millis", defaultValue = "12", description = "Time of a connect, ms.")
+  @Option(
+      names = "--connect-millis",
+      defaultValue = "12",
+      description = "Simulated time to connect, ms.")
   private long connectMillis;
 
-  @Option(names = "--lag-millis", defaultValue = "0", description = "Delay before applying, ms.")
+  @Option(
+      names = "--lag-millis",
+      defaultValue = "0",
+      description = "Delay before a replica applies a record, ms.")
   private long lagMillis;
 
   @Option(names = "--user", required = true, description = "User name.")
