--- a/lab/src/main/java/org/streamcourse/lab/bench/BenchCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/BenchCommand.java
@@ -28,9 +28,10 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures what the users count, on one profile with one read policy: the share of reads served by
- * replicas against an oracle, and the gaps at changes of primary; then, on a fleet without added
- * latencies, what the proxy adds to a statement, and what it serves when twice too much arrives.
+ * Benchmarks one profile with one read policy. On a fleet with simulated latencies it measures the
+ * share of reads served by replicas, compared with an oracle, and the write gaps at changes of
+ * primary. On a fleet without them it measures the proxy's overhead per statement, its service
+ * under twice the load that it can serve, and the restart of the controllers.
  */
 @Command(
     name = "bench",
@@ -42,13 +43,13 @@
   private static final int ROAM_EVERY = 40;
   private static final long MAX_STALENESS_MILLIS = 1_000;
   private static final long SEED = 1;
-  private static final long WARM_SECONDS = 3;
+  private static final long WARM_UP_SECONDS = 3;
   private static final long THROUGHPUT_SECONDS = 8;
 
-  /** Before throughput is measured: processes that have just started run much slower. */
-  private static final long COMPILE_SECONDS = 15;
+  /** Warm-up before throughput is measured: the JVMs are much slower before JIT compilation. */
+  private static final long THROUGHPUT_WARM_UP_SECONDS = 15;
 
-  /** Delay before replicas apply, by region, so that they lag as in the users' daily work. */
+  /** Delay before replicas apply a record, by region; simulates the replica lag of production. */
   private static final Map<Integer, Long> LAG_MILLIS = Map.of(0, 5L, 1, 40L, 2, 120L);
 
   @Option(names = "--profile", required = true, description = "stations or association.")
@@ -60,18 +61,18 @@
       description = "nearest-fresh, or the baselines primary-only and round-robin.")
   private String policy;
 
-  @Option(names = "--seconds", defaultValue = "60", description = "Length of the main phase.")
+  @Option(names = "--seconds", defaultValue = "60", description = "Length of the main phase, s.")
   private int seconds;
 
-  /** What is measured; all but the first run on a fleet without added latencies. */
+  /** Parts of the benchmark. All but the first run on a fleet without simulated latencies. */
   enum Part {
     /** Replica reads and failover gaps. */
     SERVE,
-    /** Statements a second, through proxies and straight at the primaries. */
+    /** Statements per second, through proxies and directly at the primaries. */
     THROUGHPUT,
-    /** One primary at its best, and with twice as much arriving. */
+    /** Highest throughput of one primary, and service under twice that load. */
     OVERLOAD,
-    /** Restart of all controllers after 1,000 changes of configuration. */
+    /** Restart time of all controllers after 1,000 configuration changes. */
     RESTART
   }
 
@@ -79,7 +80,7 @@
       names = "--parts",
       split = ",",
       defaultValue = "SERVE,THROUGHPUT,OVERLOAD,RESTART",
-      description = "What to measure: ${COMPLETION-CANDIDATES}.")
+      description = "Parts to run: ${COMPLETION-CANDIDATES}.")
   private Set<Part> parts;
 
   @Option(names = "--report", description = "Folder for plots.")
@@ -91,18 +92,18 @@
 
   @Override
   public Integer call() throws Exception {
-    Profile profile = checkedProfile();
+    Profile profile = parseProfile();
     json.put("profile", profile.name());
     json.put("policy", policy);
-    boolean held = !parts.contains(Part.SERVE) || serve(profile);
+    boolean passed = !parts.contains(Part.SERVE) || measureReadsAndGaps(profile);
     if (!EnumSet.of(Part.SERVE).containsAll(parts)) {
-      withoutLatencies(profile);
+      measureWithoutLatencies(profile);
     }
     System.out.println(json);
-    return held ? 0 : 1;
+    return passed ? 0 : 1;
   }
 
-  private Profile checkedProfile() {
+  private Profile parseProfile() {
     try {
       ProxyProcess.policy(policy);
       return Profile.named(profileName);
@@ -113,7 +114,7 @@
 
   // ---- replica reads and gaps ----
 
-  private boolean serve(Profile profile) throws Exception {
+  private boolean measureReadsAndGaps(Profile profile) throws Exception {
     Path folder = Files.createTempDirectory("streamcourse-bench");
     Fleet.Options options = new Fleet.Options(policy, LAG_MILLIS, true);
     try (Fleet fleet = new Fleet(profile, folder, options)) {
@@ -122,7 +123,7 @@
       callers.addWriters(MAX_STALENESS_MILLIS, SEED);
       Oracle oracle = new Oracle(fleet, MAX_STALENESS_MILLIS);
       oracle.start();
-      TimeUnit.SECONDS.sleep(WARM_SECONDS);
+      TimeUnit.SECONDS.sleep(WARM_UP_SECONDS);
       callers.start();
       PrimaryChanges changes = new PrimaryChanges(fleet);
       changes.run(seconds);
@@ -149,7 +150,7 @@
     long replica = ProxyCounters.sum(fleet, ProxyCounters.REPLICA_READS);
     long primary = ProxyCounters.sum(fleet, ProxyCounters.PRIMARY_READS);
     double share = replica / (double) Math.max(1, replica + primary);
-    double oracleShare = oracle.servable(journal.reads()) / (double) Math.max(1, reads);
+    double oracleShare = oracle.countServable(journal.reads()) / (double) Math.max(1, reads);
     Verification result = Verification.of(fleet, journal);
     json.put("reads", reads);
     json.put("replica_reads", replica);
@@ -201,9 +202,9 @@
     node.put("max", micros.getMaxValue());
   }
 
-  // ---- what the proxy adds ----
+  // ---- proxy overhead, overload, restart ----
 
-  private void withoutLatencies(Profile profile) throws Exception {
+  private void measureWithoutLatencies(Profile profile) throws Exception {
     Path folder = Files.createTempDirectory("streamcourse-bench-direct");
     Fleet.Options options = new Fleet.Options(policy, Map.of(), false);
     try (Fleet fleet = new Fleet(profile, folder, options)) {
@@ -234,31 +235,31 @@
   }
 
   private void overload(Overload load) throws InterruptedException {
-    double best = load.best().servedPerSecond();
-    Overload.Shared shared = load.twice(best);
-    Overload.Phase twice = shared.many();
+    double highest = load.measureHighest().servedPerSecond();
+    Overload.Shared shared = load.measureOverload(highest);
+    Overload.Phase overloading = shared.overloading();
     ObjectNode node = json.putObject("overload");
-    node.put("best_per_second", best);
-    node.put("served_per_second", twice.servedPerSecond());
-    node.put("refused", twice.refused());
-    node.put("failed", twice.failed());
-    node.put("not_sent", twice.skipped());
-    putLatencies(node, "served_micros", twice.servedMicros());
-    putLatencies(node, "refused_micros", twice.refusedMicros());
-    Overload.Phase few = shared.few();
-    node.put("other_user_served_per_second", few.servedPerSecond());
-    node.put("other_user_refused", few.refused());
-    node.put("other_user_failed", few.failed());
-    putLatencies(node, "other_user_served_micros", few.servedMicros());
+    node.put("best_per_second", highest);
+    node.put("served_per_second", overloading.servedPerSecond());
+    node.put("refused", overloading.refused());
+    node.put("failed", overloading.failed());
+    node.put("not_sent", overloading.skipped());
+    putLatencies(node, "served_micros", overloading.servedMicros());
+    putLatencies(node, "refused_micros", overloading.refusedMicros());
+    Overload.Phase other = shared.other();
+    node.put("other_user_served_per_second", other.servedPerSecond());
+    node.put("other_user_refused", other.refused());
+    node.put("other_user_failed", other.failed());
+    putLatencies(node, "other_user_served_micros", other.servedMicros());
   }
 
-  /** What one run of callers without pause came to. */
+  /** Statements and processor time of the proxies in one run of callers without pauses. */
   private record Measured(long statements, long cpuNanos) {}
 
   private Measured measure(Callers callers, String prefix, ProxyCosts costs)
       throws InterruptedException {
     callers.start();
-    TimeUnit.SECONDS.sleep(COMPILE_SECONDS);
+    TimeUnit.SECONDS.sleep(THROUGHPUT_WARM_UP_SECONDS);
     Journal journal = callers.journal();
     journal.resetLatencies();
     long cpuBefore = costs.cpuNanos();
--- a/lab/src/main/java/org/streamcourse/lab/bench/Oracle.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/Oracle.java
@@ -8,9 +8,9 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * What a router would have reached that knew every member's position at no cost: a read counts
- * when, at the moment it reaches the proxy, some replica has applied the read's floor and
- * everything that the primary had applied a staleness limit ago.
+ * Computes how many reads replicas could have served if the router knew every member's log position
+ * without delay. A read counts when, at the time it reaches the proxy, some replica has applied the
+ * read's floor and everything that the primary had applied one staleness limit earlier.
  */
 final class Oracle {
   private final List<PositionTimeline> timelines = new ArrayList<>();
@@ -35,7 +35,7 @@
     timelines.forEach(PositionTimeline::stop);
   }
 
-  long servable(List<Journal.Read> reads) {
+  long countServable(List<Journal.Read> reads) {
     return reads.stream().filter(this::isServable).count();
   }
 
--- a/lab/src/main/java/org/streamcourse/lab/bench/Overload.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/Overload.java
@@ -12,12 +12,12 @@
 import org.streamcourse.lab.fleet.Fleet;
 
 /**
- * What a primary serves at the best, and what is left of it when twice as much arrives. The load
- * comes at fixed moments, whether earlier requests were answered or not, from more connections than
- * can be waiting.
+ * Measures the highest throughput of a primary, and its throughput under twice that load. Overload
+ * is an open-loop load: requests are sent at fixed times, whether earlier requests were answered or
+ * not, from more connections than requests can wait at the proxy.
  */
 final class Overload {
-  /** What callers saw in one phase. */
+  /** Results that callers of one user observed in one phase. */
   static final class Phase {
     private final AtomicLong served = new AtomicLong();
     private final AtomicLong refused = new AtomicLong();
@@ -34,12 +34,12 @@
       return refused.get();
     }
 
-    /** Requests that ended neither served nor as a refusal that says "not run". */
+    /** Requests that were neither served nor refused with an error that says "not run". */
     long failed() {
       return failed.get();
     }
 
-    /** Requests not sent at their moment, since all connections were in use. */
+    /** Requests not sent at their scheduled time because their connection was still in use. */
     long skipped() {
       return skipped.get();
     }
@@ -57,12 +57,12 @@
   private static final int DIGITS = 3;
   private static final int SECONDS = 8;
   private static final int WORK_MILLIS = 20;
-  private static final String WORK = "SELECT pg_sleep(" + WORK_MILLIS / 1_000.0 + ")";
+  private static final String WORK_SQL = "SELECT pg_sleep(" + WORK_MILLIS / 1_000.0 + ")";
   private static final int BUSY_CALLERS_PER_SLOT = 3;
   private static final int OVERLOAD_CONNECTIONS = 400;
   private static final int OVERLOAD_FACTOR = 2;
-  private static final int FEW_CONNECTIONS = 12;
-  private static final double FEW_PER_SECOND = 24;
+  private static final int OTHER_CONNECTIONS = 12;
+  private static final double OTHER_PER_SECOND = 24;
 
   private final Fleet fleet;
   private final String database;
@@ -72,29 +72,29 @@
     this.database = fleet.profile().databases().get(0);
   }
 
-  /** Callers that send their next request when the last is answered: enough to fill all slots. */
-  Phase best() throws InterruptedException {
+  /** Closed-loop load from enough callers to occupy all slots of the primary. */
+  Phase measureHighest() throws InterruptedException {
     return run(BUSY_CALLERS_PER_SLOT * fleet.profile().slots());
   }
 
-  /** What two users saw at the same time. */
-  record Shared(Phase many, Phase few) {}
+  /** Results of the overloading user and of the other user in the same phase. */
+  record Shared(Phase overloading, Phase other) {}
 
   /**
-   * Twice what was served at the best, by one user, beside another user with few requests.
+   * Sends twice the highest throughput as one user, and few requests as another user meanwhile.
    *
-   * @param bestPerSecond requests served in a second by {@link #best()}
+   * @param highestPerSecond requests served in a second by {@link #measureHighest()}
    */
-  Shared twice(double bestPerSecond) throws InterruptedException {
+  Shared measureOverload(double highestPerSecond) throws InterruptedException {
     long start = System.nanoTime() + TimeUnit.SECONDS.toNanos(1 + OVERLOAD_CONNECTIONS / 100);
-    Phase many = new Phase();
-    Phase few = new Phase();
+    Phase overloading = new Phase();
+    Phase other = new Phase();
     List<Thread> threads = new ArrayList<>();
-    double perSecond = OVERLOAD_FACTOR * bestPerSecond;
-    threads.addAll(startLoad(Fleet.USER, many, OVERLOAD_CONNECTIONS, perSecond, start));
-    threads.addAll(startLoad(Fleet.OTHER_USER, few, FEW_CONNECTIONS, FEW_PER_SECOND, start));
+    double perSecond = OVERLOAD_FACTOR * highestPerSecond;
+    threads.addAll(startLoad(Fleet.USER, overloading, OVERLOAD_CONNECTIONS, perSecond, start));
+    threads.addAll(startLoad(Fleet.OTHER_USER, other, OTHER_CONNECTIONS, OTHER_PER_SECOND, start));
     join(threads);
-    return new Shared(many, few);
+    return new Shared(overloading, other);
   }
 
   private Phase run(int connections) throws InterruptedException {
@@ -119,7 +119,7 @@
       long first = start + intervalNanos * i / connections;
       int proxy = i % fleet.proxies().size();
       Thread thread =
-          new Thread(() -> call(user, proxy, phase, first, intervalNanos, end), "load-" + i);
+          new Thread(() -> sendLoad(user, proxy, phase, first, intervalNanos, end), "load-" + i);
       thread.setDaemon(true);
       threads.add(thread);
       thread.start();
@@ -127,15 +127,16 @@
     return threads;
   }
 
-  private void call(String user, int proxy, Phase phase, long first, long intervalNanos, long end) {
+  private void sendLoad(
+      String user, int proxy, Phase phase, long first, long intervalNanos, long end) {
     try (Connection connection =
             Fleet.connect(fleet.proxies().get(proxy).callers(), database, user, "");
         Statement statement = connection.createStatement()) {
       long next = first;
       while (next < end) {
         TimeUnit.NANOSECONDS.sleep(next - System.nanoTime());
-        request(statement, phase);
-        next = intervalNanos == 0 ? System.nanoTime() : following(next, intervalNanos, phase);
+        sendRequest(statement, phase);
+        next = intervalNanos == 0 ? System.nanoTime() : nextSendTime(next, intervalNanos, phase);
       }
     } catch (SQLException e) {
       phase.failed.incrementAndGet();
@@ -144,9 +145,9 @@
     }
   }
 
-  /** The next moment that has not passed yet. */
-  private static long following(long moment, long intervalNanos, Phase phase) {
-    long next = moment + intervalNanos;
+  /** Next scheduled send time in the future; counts those that have passed as skipped. */
+  private static long nextSendTime(long sentAt, long intervalNanos, Phase phase) {
+    long next = sentAt + intervalNanos;
     while (next < System.nanoTime()) {
       phase.skipped.incrementAndGet();
       next += intervalNanos;
@@ -154,10 +155,10 @@
     return next;
   }
 
-  private static void request(Statement statement, Phase phase) {
+  private static void sendRequest(Statement statement, Phase phase) {
     long start = System.nanoTime();
     try {
-      statement.execute(WORK);
+      statement.execute(WORK_SQL);
       phase.servedMicros.recordValue(microsSince(start));
       phase.served.incrementAndGet();
     } catch (SQLException e) {
--- a/lab/src/main/java/org/streamcourse/lab/bench/Plots.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/Plots.java
@@ -10,7 +10,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws a bench's figures as PNG files. */
+/** Draws the results of a benchmark as PNG files. */
 final class Plots {
   private static final int WIDTH = 800;
   private static final int HEIGHT = 500;
@@ -20,7 +20,7 @@
 
   private Plots() {}
 
-  /** Draws latencies by percentile. */
+  /** Draws a chart of latencies by percentile. */
   static void latencies(Path file, Histogram reads, Histogram writes) throws IOException {
     XYChart chart = chart("Latency by percentile", "percentile", "milliseconds");
     addPercentiles(chart, "reads", reads);
@@ -39,7 +39,7 @@
     chart.addSeries(name, percentiles, values);
   }
 
-  /** Draws the distribution of gaps: how many were at most so long. */
+  /** Draws the cumulative distribution of gaps at changes of primary. */
   static void gaps(Path file, List<Long> unplanned, List<Long> planned) throws IOException {
     XYChart chart = chart("Changes of primary", "milliseconds", "changes at most so long");
     addCumulative(chart, "unplanned", unplanned);
--- a/lab/src/main/java/org/streamcourse/lab/bench/PositionTimeline.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/PositionTimeline.java
@@ -11,12 +11,12 @@
 import org.streamcourse.lab.fleet.Fleet;
 import org.streamcourse.version.image.TermPosition;
 
-/** Where a member's applied position stood at each moment, asked at the member itself. */
+/** Records a member's applied log position and role over time by polling the member. */
 final class PositionTimeline implements Runnable {
-  private static final long ASK_MILLIS = 4;
+  private static final long POLL_MILLIS = 4;
   private static final long RECONNECT_MILLIS = 200;
 
-  /** What a member said at one moment. */
+  /** Status that the member returned to one poll. */
   record State(TermPosition applied, boolean primary) {}
 
   private final Fleet.MemberHandle member;
@@ -41,20 +41,20 @@
       try (Connection connection = Fleet.connect(member.sql(), member.database(), "");
           Statement statement = connection.createStatement()) {
         while (!stopped) {
-          ask(statement);
-          TimeUnit.MILLISECONDS.sleep(ASK_MILLIS);
+          poll(statement);
+          TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
         }
       } catch (SQLException e) {
-        // The member is down; it serves nothing until it answers again.
+        // The member is down: it can serve no read until the next successful poll.
         states.put(System.nanoTime(), new State(TermPosition.ZERO, false));
-        pause();
+        awaitReconnect();
       } catch (InterruptedException e) {
         return;
       }
     }
   }
 
-  private static void pause() {
+  private static void awaitReconnect() {
     try {
       TimeUnit.MILLISECONDS.sleep(RECONNECT_MILLIS);
     } catch (InterruptedException e) {
@@ -62,7 +62,7 @@
     }
   }
 
-  private void ask(Statement statement) throws SQLException {
+  private void poll(Statement statement) throws SQLException {
     try (ResultSet row = statement.executeQuery("SELECT * FROM group_status()")) {
       row.next();
       State state =
@@ -73,7 +73,7 @@
     }
   }
 
-  /** State at a moment; at its last word before. */
+  /** Returns the last state recorded at or before a time. */
   State at(long nanos) {
     Map.Entry<Long, State> entry = states.floorEntry(nanos);
     return entry == null ? new State(TermPosition.ZERO, false) : entry.getValue();
--- a/lab/src/main/java/org/streamcourse/lab/bench/PrimaryChanges.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/PrimaryChanges.java
@@ -8,13 +8,13 @@
 import org.streamcourse.lab.workload.FailoverGap;
 import org.streamcourse.lab.workload.Journal;
 
-/** Kills primaries and switches them as planned, in turn, while callers work. */
+/** Alternates between killing a primary and a planned change of primary while callers run. */
 final class PrimaryChanges {
-  private static final long BETWEEN_MILLIS = 3_500;
+  private static final long INTERVAL_MILLIS = 3_500;
   private static final long RESTART_MILLIS = 2_000;
-  private static final long WINDOW_MILLIS = 3_000;
+  private static final long GAP_WINDOW_MILLIS = 3_000;
 
-  /** One change and when it began. */
+  /** One change of primary and its start time. */
   private record Change(String database, boolean planned, long atNanos) {}
 
   private final Fleet fleet;
@@ -24,13 +24,13 @@
     this.fleet = fleet;
   }
 
-  /** Causes changes for a time. */
+  /** Changes primaries for the given time. */
   void run(long seconds) throws Exception {
     List<String> databases = fleet.profile().databases();
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     int round = 0;
-    TimeUnit.MILLISECONDS.sleep(BETWEEN_MILLIS);
-    while (System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BETWEEN_MILLIS * 2) < end) {
+    TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
+    while (System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(INTERVAL_MILLIS * 2) < end) {
       kill(databases.get(round % databases.size()));
       switchPrimary(databases.get((round + 1) % databases.size()));
       round++;
@@ -44,7 +44,7 @@
     primary.process().kill();
     TimeUnit.MILLISECONDS.sleep(RESTART_MILLIS);
     primary.process().start();
-    TimeUnit.MILLISECONDS.sleep(BETWEEN_MILLIS - RESTART_MILLIS);
+    TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS - RESTART_MILLIS);
   }
 
   private void switchPrimary(String database) throws Exception {
@@ -60,12 +60,12 @@
       fleet.admin("SWITCH PRIMARY OF GROUP " + database + " TO " + target);
       changes.add(new Change(database, true, start));
     } catch (SQLException e) {
-      // Refused, since a change of this group is under way; there is no change to measure.
+      // Refused because a change of primary of this group is in progress: nothing to measure.
     }
-    TimeUnit.MILLISECONDS.sleep(BETWEEN_MILLIS);
+    TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
   }
 
-  /** Times without a primary in milliseconds, as callers saw them, of one kind of change. */
+  /** Write gaps that callers observed at planned or unplanned changes, in milliseconds. */
   List<Long> gapsMillis(Journal journal, boolean planned) {
     List<Long> gaps = new ArrayList<>();
     for (Change change : changes) {
@@ -80,9 +80,9 @@
     return gaps;
   }
 
-  /** Longest time between two acknowledgments in the seconds after a planned change began. */
+  /** Longest time between two acknowledged writes within the window after a change began. */
   private static double longestPause(Journal journal, Change change) {
-    long end = change.atNanos() + TimeUnit.MILLISECONDS.toNanos(WINDOW_MILLIS);
+    long end = change.atNanos() + TimeUnit.MILLISECONDS.toNanos(GAP_WINDOW_MILLIS);
     List<Long> times =
         journal.acknowledged().stream()
             .filter(each -> each.database().equals(change.database()))
--- a/lab/src/main/java/org/streamcourse/lab/bench/ProxyCosts.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/ProxyCosts.java
@@ -2,7 +2,7 @@
 
 import org.streamcourse.lab.fleet.Fleet;
 
-/** What the proxies of a fleet spend. */
+/** Processor time used by the proxies of a fleet. */
 final class ProxyCosts {
   private final Fleet fleet;
 
@@ -10,7 +10,7 @@
     this.fleet = fleet;
   }
 
-  /** Processor time of all proxies so far. */
+  /** Processor time of all proxies since their start. */
   long cpuNanos() {
     return fleet.proxies().stream()
         .mapToLong(
--- a/lab/src/main/java/org/streamcourse/lab/bench/RestartTime.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/RestartTime.java
@@ -8,13 +8,13 @@
 import org.streamcourse.lab.fleet.FleetProcess;
 
 /**
- * How long all controllers take, killed together after many changes of configuration, until one of
- * them tells the latest version again.
+ * Measures the time to restart all controllers, killed together after many configuration changes,
+ * until the leader reports the latest configuration version.
  */
 final class RestartTime {
   private static final int CHANGES = 1_000;
   private static final long POLL_MILLIS = 10;
-  private static final long LONGEST_MILLIS = 120_000;
+  private static final long TIMEOUT_MILLIS = 120_000;
 
   private final Fleet fleet;
 
@@ -23,9 +23,9 @@
   }
 
   /**
-   * Makes the changes, kills and starts the controllers.
+   * Changes the configuration, then kills and restarts all controllers.
    *
-   * @return milliseconds from the first start to the answer with the latest version
+   * @return milliseconds from the first start until the latest version is reported
    */
   long measureMillis() throws Exception {
     String group = fleet.profile().databases().get(0);
@@ -43,15 +43,16 @@
     }
     while (configurationVersion() != latest) {
       long waited = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
-      if (waited > LONGEST_MILLIS) {
-        throw new IllegalStateException("version " + latest + " is not back after " + waited);
+      if (waited > TIMEOUT_MILLIS) {
+        throw new IllegalStateException(
+            "configuration version " + latest + " not reported after " + waited + " ms");
       }
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
     }
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
   }
 
-  /** Latest version that a leader tells, or -1 while there is none. */
+  /** Latest configuration version that the leader reports, or -1 while there is no leader. */
   private long configurationVersion() {
     try {
       List<Map<String, String>> rows = fleet.admin("SHOW VERSIONS");
--- a/lab/src/main/java/org/streamcourse/lab/bench/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Measures what the users count: replica reads against an oracle, failover gaps, added latency. */
+/** Benchmarks: share of replica reads against an oracle, failover gaps, throughput and overhead. */
 package org.streamcourse.lab.bench;
