--- a/lab/src/main/java/org/streamcourse/lab/scale/FitCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/FitCommand.java
@@ -17,29 +17,32 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Fits {@code value = a + b * nodes + c * databases} to the results of several scale runs, and
- * tells each slope with its standard error and the value at a given size.
+ * Fits {@code value = a + b * nodes + c * databases} to the results of several scale runs. Prints
+ * the slopes with their standard errors, and the value predicted for a given fleet size.
  */
 @Command(
     name = "fit",
     mixinStandardHelpOptions = true,
-    description = "Fits slopes to the results of scale runs, one JSON object a line.")
+    description = "Fits slopes to the results of scale runs, one JSON object per line.")
 public final class FitCommand implements Callable<Integer> {
-  private static final int MIN_POINTS = 4;
+  private static final int MIN_RUNS = 4;
 
   @Parameters(arity = "1..*", description = "Files with results; other lines are skipped.")
   private List<Path> files;
 
-  @Option(names = "--nodes", defaultValue = "670", description = "Size to work out.")
+  @Option(names = "--nodes", defaultValue = "670", description = "Number of nodes to predict for.")
   private int nodes;
 
-  @Option(names = "--databases", defaultValue = "970", description = "Size to work out.")
+  @Option(
+      names = "--databases",
+      defaultValue = "970",
+      description = "Number of databases to predict for.")
   private int databases;
 
-  /** One value to fit. */
-  private record Value(String name, ToDoubleFunction<JsonNode> of) {}
+  /** A quantity to fit, and how to read it from the result of a run. */
+  private record Value(String name, ToDoubleFunction<JsonNode> reader) {}
 
-  private static final List<Value> VALUES_BY_SHARE =
+  private static final List<Value> VALUES_BY_DATABASES_PER_NODE =
       List.of(
           new Value(
               "node: control, bytes/s",
@@ -64,13 +67,13 @@
   @Override
   public Integer call() throws IOException {
     List<JsonNode> runs = readRuns();
-    if (runs.size() < MIN_POINTS) {
-      System.err.println("only " + runs.size() + " results found, " + MIN_POINTS + " are needed");
+    if (runs.size() < MIN_RUNS) {
+      System.err.println("only " + runs.size() + " results found, " + MIN_RUNS + " are needed");
       return 2;
     }
     System.out.printf("%d runs%n", runs.size());
     VALUES.forEach(value -> fit(value, runs));
-    VALUES_BY_SHARE.forEach(value -> fitByShare(value, runs));
+    VALUES_BY_DATABASES_PER_NODE.forEach(value -> fitByDatabasesPerNode(value, runs));
     return 0;
   }
 
@@ -88,7 +91,7 @@
   }
 
   private void fit(Value value, List<JsonNode> runs) {
-    double[] measured = runs.stream().mapToDouble(value.of()).toArray();
+    double[] measured = runs.stream().mapToDouble(value.reader()).toArray();
     double[][] sizes =
         runs.stream()
             .map(run -> new double[] {run.path("nodes").asInt(), run.path("databases").asInt()})
@@ -114,11 +117,11 @@
         databases);
   }
 
-  private void fitByShare(Value value, List<JsonNode> runs) {
+  private void fitByDatabasesPerNode(Value value, List<JsonNode> runs) {
     SimpleRegression regression = new SimpleRegression();
     for (JsonNode run : runs) {
-      double share = run.path("databases").asDouble() / run.path("nodes").asInt();
-      regression.addData(share, value.of().applyAsDouble(run));
+      double databasesPerNode = run.path("databases").asDouble() / run.path("nodes").asInt();
+      regression.addData(databasesPerNode, value.reader().applyAsDouble(run));
     }
     System.out.printf(
         Locale.ROOT,
--- a/lab/src/main/java/org/streamcourse/lab/scale/HollowDisk.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/HollowDisk.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.streamcourse.process.Disk;
 
-/** Keeps only the sizes of a node's files, so that hollow nodes share no real disk's limits. */
+/** Disk that stores only file sizes, so that many hollow nodes are not limited by one real disk. */
 final class HollowDisk implements Disk {
   private final Map<String, Integer> sizes = new ConcurrentHashMap<>();
 
--- a/lab/src/main/java/org/streamcourse/lab/scale/HollowGroup.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/HollowGroup.java
@@ -6,7 +6,7 @@
 import org.streamcourse.process.Worker;
 import org.streamcourse.version.image.Placement;
 
-/** A database of three hollow members, one in each of three zones. */
+/** A group of three hollow members in three different zones. */
 final class HollowGroup {
   private static final int MEMBERS = 3;
 
@@ -17,8 +17,8 @@
   /**
    * Creates a group.
    *
-   * @param number number of the group; decides its zones
-   * @param worker worker of its members
+   * @param number number of the group; determines the zones of its members
+   * @param worker worker that runs the members
    */
   HollowGroup(int number, Worker worker) {
     name = "db" + number;
@@ -45,17 +45,20 @@
     return Optional.ofNullable(members.get(member));
   }
 
-  /** Writes one record at the primary and ships it. */
+  /**
+   * Advances the log position of the primary by one record, and that of the replicas that follow
+   * it.
+   */
   void advance() {
     members.forEach(
         (primary, member) -> {
           if (member.advance()) {
-            members.forEach((any, replica) -> replica.copy(primary, member.status()));
+            members.forEach((any, replica) -> replica.follow(primary, member.status()));
           }
         });
   }
 
-  /** The operators' statement that creates it. */
+  /** Operators' statement that creates the group. */
   String createStatement() {
     StringBuilder sql = new StringBuilder("CREATE GROUP " + name + " MEMBERS (");
     String separator = "";
--- a/lab/src/main/java/org/streamcourse/lab/scale/HollowMember.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/HollowMember.java
@@ -16,8 +16,9 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * A database member without data: it has a term, a role and positions, answers status queries and
- * orders on real wire messages, and reports changes. Its state is guarded by its own lock.
+ * Simulated database member without data. It has a term, a role and log positions, replies to
+ * status queries and orders with real protocol messages, and notifies listening connections of
+ * changes. Its state is guarded by the monitor of this object.
  */
 final class HollowMember {
   private static final Pattern ORDER =
@@ -25,7 +26,7 @@
 
   private final String name;
   private final Worker worker;
-  private final Set<Session> listening = ConcurrentHashMap.newKeySet();
+  private final Set<Session> listeningSessions = ConcurrentHashMap.newKeySet();
   private final Set<Session> sessions = ConcurrentHashMap.newKeySet();
   private MemberStatus status =
       new MemberStatus(
@@ -45,13 +46,13 @@
     return down;
   }
 
-  /** Dies: connections end, and none are accepted any more. */
+  /** Simulates a crash: closes all connections and accepts no new ones. */
   void die() {
     down = true;
-    List.copyOf(sessions).forEach(Session::breakOff);
+    List.copyOf(sessions).forEach(Session::reset);
   }
 
-  /** Opens a connection; null when the member is down. */
+  /** Opens a connection; returns null when the member is down. */
   MemberSession open() {
     if (down) {
       return null;
@@ -61,7 +62,7 @@
     return session;
   }
 
-  /** Writes one record if this member is primary. */
+  /** Advances the log position by one record if this member is the primary. */
   synchronized boolean advance() {
     if (down || status.role() != MemberRole.PRIMARY) {
       return false;
@@ -70,8 +71,8 @@
     return true;
   }
 
-  /** Takes over a primary's position if this member follows it. */
-  synchronized void copy(String primary, MemberStatus from) {
+  /** Adopts a primary's log position if this member follows that primary. */
+  synchronized void follow(String primary, MemberStatus from) {
     if (!down && status.upstream().equals(primary) && status.term() == from.term()) {
       setPosition(from.received());
     }
@@ -81,20 +82,20 @@
     status =
         new MemberStatus(
             status.term(), status.role(), status.upstream(), position, position, position);
-    report();
+    notifySessions();
   }
 
-  private void report() {
+  private void notifySessions() {
     byte[] notification =
         WireBuilder.message(Backend.NOTIFICATION)
             .int32(1)
             .text("group_status")
             .text(MemberStatements.notificationPayload(status))
             .bytes();
-    listening.forEach(each -> each.answer(notification));
+    listeningSessions.forEach(each -> each.deliver(notification));
   }
 
-  private synchronized boolean order(String kind, long term, String primary) {
+  private synchronized boolean executeOrder(String kind, long term, String primary) {
     boolean refused = term < status.term();
     if (refused || (kind.equals("promote") && status.role() == MemberRole.REPLICA)) {
       return false;
@@ -109,11 +110,11 @@
     status =
         new MemberStatus(
             term, role, upstream, status.received(), status.received(), status.applied());
-    report();
+    notifySessions();
     return true;
   }
 
-  /** One connection of a gateway. */
+  /** One connection from a gateway to the member. */
   private final class Session implements MemberSession {
     private volatile Listener listener;
 
@@ -131,32 +132,38 @@
     private void execute(String sql) {
       Matcher order = ORDER.matcher(sql);
       if (sql.equals(MemberStatements.LISTEN)) {
-        listening.add(this);
-        answer(Backend.commandComplete("LISTEN"));
+        listeningSessions.add(this);
+        deliver(Backend.commandComplete("LISTEN"));
       } else if (sql.equals(MemberStatements.STATUS)) {
-        answerStatus();
+        sendStatus();
       } else if (order.matches()) {
-        if (order(order.group(1), Long.parseLong(order.group(2)), order.group(3))) {
-          answerStatus();
+        if (executeOrder(order.group(1), Long.parseLong(order.group(2)), order.group(3))) {
+          sendStatus();
         } else {
-          answer(Backend.error("ERROR", "55000", name + " refuses", "", ""));
+          deliver(
+              Backend.error(
+                  "ERROR",
+                  "55000",
+                  name + " refused the order in its current term or role",
+                  "",
+                  ""));
         }
       }
-      answer(Backend.ready(Backend.STATUS_IDLE));
+      deliver(Backend.ready(Backend.STATUS_IDLE));
     }
 
-    private void answerStatus() {
-      answer(Backend.textRow(MemberStatements.fields(status())));
+    private void sendStatus() {
+      deliver(Backend.textRow(MemberStatements.fields(status())));
     }
 
-    void answer(byte[] message) {
+    void deliver(byte[] message) {
       Listener current = listener;
       if (current != null) {
         current.onMessage(new WireMessage(message));
       }
     }
 
-    void breakOff() {
+    void reset() {
       Listener current = listener;
       close();
       if (current != null) {
@@ -166,17 +173,17 @@
 
     @Override
     public void pauseReading() {
-      // There are no answers to hold back.
+      // The member runs no callers' statements, so there are no results to hold back.
     }
 
     @Override
     public void resumeReading() {
-      // There are no answers to hold back.
+      // The member runs no callers' statements, so there are no results to hold back.
     }
 
     @Override
     public void cancel() {
-      // Nothing runs long.
+      // No statement runs long enough to be cancelled.
     }
 
     @Override
@@ -187,7 +194,7 @@
 
     @Override
     public void close() {
-      listening.remove(this);
+      listeningSessions.remove(this);
       sessions.remove(this);
       listener = null;
     }
--- a/lab/src/main/java/org/streamcourse/lab/scale/HollowNode.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/HollowNode.java
@@ -18,11 +18,11 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * A proxy node with the real control and routing code and real links, but with hollow members and
- * no callers; many share a process.
+ * A proxy node with the real control and routing code and real peer links, but with hollow members
+ * and without callers. Many hollow nodes run in one process.
  */
 final class HollowNode {
-  /** What the hollow nodes of a process share. */
+  /** Resources that all hollow nodes of a process share. */
   record Shared(
       WorkerPool workers,
       LoopResources loops,
@@ -98,13 +98,16 @@
     node.start();
   }
 
-  /** Ends without a word, as a machine that fails; {@link #close()} frees what it held. */
+  /**
+   * Stops the node without notifying its peers, as when a host fails. {@link #close()} releases its
+   * ports and peer links.
+   */
   void fail() {
     stopped = true;
     node.stop();
   }
 
-  /** Closes ports and links, which takes a while; peers notice that links end only now. */
+  /** Closes ports and peer links, which takes some time. Peers see the links closed only now. */
   void close() {
     network.stop();
   }
@@ -117,7 +120,7 @@
     return node.agent().image().version();
   }
 
-  /** Bytes on links in both directions; without callers all of them are control. */
+  /** Bytes on peer links in both directions; without callers all are control traffic. */
   long controlBytes() {
     return network.sentBytes() + network.receivedBytes();
   }
--- a/lab/src/main/java/org/streamcourse/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/ScaleCommand.java
@@ -18,15 +18,16 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs hollow nodes and databases against real controllers and reports what control costs per node
- * and what events take. One run gives one point; the slopes of docs/CAPACITY.md come from several.
+ * Runs hollow nodes and databases against real controllers. Reports the cost of control traffic per
+ * node, and the time to handle events such as failures. One run is one point of the fits in
+ * docs/CAPACITY.md.
  */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
-    description = "Measures what control costs with many hollow nodes and databases.")
+    description = "Measures the cost of control traffic with many hollow nodes and databases.")
 public final class ScaleCommand implements Callable<Integer> {
-  private static final long EVENT_SECONDS = 120;
+  private static final long EVENT_TIMEOUT_SECONDS = 120;
   private static final long POLL_MILLIS = 5;
   private static final int PRIMARY_CHANGES = 5;
   private static final int FAILED_NODES = 7;
@@ -40,7 +41,7 @@
   @Option(names = "--databases", required = true, description = "Number of hollow databases.")
   private int databases;
 
-  @Option(names = "--seconds", defaultValue = "20", description = "Length of the steady phase.")
+  @Option(names = "--seconds", defaultValue = "20", description = "Length of the steady phase, s.")
   private int seconds;
 
   @Option(
@@ -53,7 +54,7 @@
 
   private final ObjectNode report = new ObjectMapper().createObjectNode();
 
-  /** Counters at one moment. */
+  /** Values of all counters at one time. */
   private record Sample(
       long atNanos,
       long hollowCpuNanos,
@@ -72,7 +73,9 @@
     try (ScaleFleet fleet = new ScaleFleet(folder, nodes, databases)) {
       long started = System.nanoTime();
       fleet.start();
-      say("%d nodes and %d databases are ready after %.1f s", nodes, databases, since(started));
+      print(
+          "%d nodes and %d databases are ready after %.1f s",
+          nodes, databases, secondsSince(started));
       report.put("nodes", nodes);
       report.put("databases", databases);
       steadyPhase(fleet, heapBefore);
@@ -80,7 +83,7 @@
         configurationChange(fleet);
         primaryChanges(fleet);
         failNodes(fleet, fleet.nodes().subList(0, Math.min(FAILED_NODES, nodes / 4)), "nodes_lost");
-        zoneLost(fleet);
+        failZone(fleet);
       }
     }
     System.out.println(report);
@@ -115,7 +118,7 @@
       role.put("core_share", cpu / 1e9 / elapsed);
       role.put("heap_bytes", heapFloor(fleet, name));
     }
-    say("steady: %s", report);
+    print("steady: %s", report);
   }
 
   private static Sample sample(ScaleFleet fleet) throws Exception {
@@ -140,7 +143,7 @@
         .toNanos();
   }
 
-  /** Smallest heap in use over a second and a half, which is near what is live. */
+  /** Smallest heap in use during 1.5 s, an approximation of the live heap. */
   private static long heapFloor(ScaleFleet fleet, String controller) throws Exception {
     double floor = Double.MAX_VALUE;
     for (int i = 0; i < 15; i++) {
@@ -169,13 +172,13 @@
 
   // ---- events ----
 
-  /** Time until a change of configuration is in force on every node. */
+  /** Measures the time until a configuration change is in effect on every node. */
   private void configurationChange(ScaleFleet fleet) throws Exception {
     long before = fleet.nodes().get(0).imageVersion();
     long start = System.nanoTime();
     fleet.admin().execute("ALTER GROUP db0 SET max_staleness_ms = 1234");
     ScaleFleet.await(
-        EVENT_SECONDS,
+        EVENT_TIMEOUT_SECONDS,
         POLL_MILLIS,
         () -> fleet.nodes().stream().allMatch(node -> node.imageVersion() > before));
     report.put("configuration_in_force_ms", millisSince(start));
@@ -192,7 +195,7 @@
               .orElseThrow();
       long start = System.nanoTime();
       primary.die();
-      ScaleFleet.await(EVENT_SECONDS, POLL_MILLIS, () -> hasLivePrimary(group));
+      ScaleFleet.await(EVENT_TIMEOUT_SECONDS, POLL_MILLIS, () -> hasLivePrimary(group));
       times.add(millisSince(start));
     }
   }
@@ -202,35 +205,36 @@
         .anyMatch(each -> !each.isDown() && each.status().role().name().equals("PRIMARY"));
   }
 
-  /** Nodes end without a word; measures until others have all their allowances. */
+  /** Fails nodes; measures the time until they are removed and their allowances reassigned. */
   private void failNodes(ScaleFleet fleet, List<HollowNode> lost, String field) throws Exception {
     Sample before = sample(fleet);
     long start = System.nanoTime();
-    end(lost);
+    stopAbruptly(lost);
     int left = (int) fleet.nodes().stream().filter(each -> !each.isStopped()).count();
     fleet.awaitRows("SHOW NODES", left);
-    double removed = since(start);
+    double removed = secondsSince(start);
     awaitSettled(fleet);
     Sample after = sample(fleet);
     ObjectNode event = report.putObject(field);
     event.put("count", lost.size());
     event.put("removed_s", removed);
-    event.put("allowances_settled_s", since(start));
+    event.put("allowances_settled_s", secondsSince(start));
     event.put(
         "control_bytes_per_node", (after.hollowBytes() - before.hollowBytes()) / Math.max(1, left));
     event.put("leader_cpu_s", leaderCpu(before, after));
-    say("%s: %s", field, event);
+    print("%s: %s", field, event);
   }
 
   /**
-   * Ends nodes without a word. Their ports and links are closed meanwhile: closing those of a whole
-   * zone takes this process seconds, which machines that fail don't take.
+   * Stops nodes without notifying their peers. Closes their ports and peer links in the background:
+   * closing those of a whole zone takes this process seconds, which a failure of real hosts doesn't
+   * take.
    */
-  private void end(List<HollowNode> lost) {
+  private void stopAbruptly(List<HollowNode> lost) {
     lost.forEach(HollowNode::fail);
     long start = System.nanoTime();
     CompletableFuture.runAsync(() -> lost.parallelStream().forEach(HollowNode::close))
-        .thenRun(() -> say("closed %d nodes in %d ms", lost.size(), millisSince(start)));
+        .thenRun(() -> print("closed %d nodes in %d ms", lost.size(), millisSince(start)));
   }
 
   private static double leaderCpu(Sample before, Sample after) {
@@ -243,7 +247,7 @@
 
   /** Waits until the image has not changed for two seconds and all nodes have it. */
   private static void awaitSettled(ScaleFleet fleet) throws Exception {
-    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(EVENT_SECONDS);
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(EVENT_TIMEOUT_SECONDS);
     long stableSince = System.nanoTime();
     long version = -1;
     while (System.nanoTime() - stableSince < TimeUnit.SECONDS.toNanos(2)) {
@@ -258,14 +262,15 @@
         stableSince = System.nanoTime();
       }
       if (System.nanoTime() > deadline) {
-        throw new IllegalStateException("the image does not settle");
+        throw new IllegalStateException(
+            "the image still changes after " + EVENT_TIMEOUT_SECONDS + " s");
       }
       TimeUnit.MILLISECONDS.sleep(50);
     }
   }
 
-  /** All nodes and members of one zone end at once. */
-  private void zoneLost(ScaleFleet fleet) throws Exception {
+  /** Fails all nodes and members of one zone at once. */
+  private void failZone(ScaleFleet fleet) throws Exception {
     String zone = Zones.placement(1).zone();
     List<HollowGroup> affected =
         fleet.groups().values().stream().filter(each -> primaryIsIn(each, zone)).toList();
@@ -284,10 +289,10 @@
         fleet.nodes().stream()
             .filter(each -> !each.isStopped() && each.zone().equals(zone))
             .toList();
-    end(lost);
+    stopAbruptly(lost);
     long servable = affected.stream().filter(ScaleCommand::hasMajority).count();
     ScaleFleet.await(
-        EVENT_SECONDS,
+        EVENT_TIMEOUT_SECONDS,
         POLL_MILLIS,
         () -> affected.stream().filter(ScaleCommand::hasLivePrimary).count() >= servable);
     report.put("zone_lost_primaries", servable);
@@ -309,7 +314,7 @@
     return up > group.members().size() / 2;
   }
 
-  private static double since(long nanos) {
+  private static double secondsSince(long nanos) {
     return (System.nanoTime() - nanos) / 1e9;
   }
 
@@ -317,7 +322,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
   }
 
-  private static void say(String format, Object... values) {
+  private static void print(String format, Object... values) {
     System.out.printf(Locale.ROOT, format + "%n", values);
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/ScaleFleet.java
@@ -29,11 +29,11 @@
   private static final int CONTROLLERS = 3;
   private static final int CONTROLLER_HEAP_MB = 512;
   private static final int THREADS = 6;
-  private static final int GROUPS_AT_ONCE = 20;
-  private static final long WRITE_MILLIS = 250;
-  private static final long READY_SECONDS = 300;
+  private static final int GROUPS_PER_BATCH = 20;
+  private static final long WRITE_INTERVAL_MILLIS = 250;
+  private static final long READY_TIMEOUT_SECONDS = 300;
   private static final long POLL_MILLIS = 20;
-  private static final long MEMBER_POLL_MILLIS = 250;
+  private static final long ADMIN_POLL_MILLIS = 250;
 
   private final Ports ports = new Ports();
   private final WorkerPool workers = new WorkerPool("hollow", THREADS);
@@ -61,7 +61,7 @@
       HollowGroup group = new HollowGroup(i, members);
       groups.put(group.name(), group);
     }
-    members.repeat(WRITE_MILLIS, () -> groups.values().forEach(HollowGroup::advance));
+    members.repeat(WRITE_INTERVAL_MILLIS, () -> groups.values().forEach(HollowGroup::advance));
     HollowNode.Shared shared =
         new HollowNode.Shared(
             workers,
@@ -108,7 +108,9 @@
         folder);
   }
 
-  /** Starts everything and waits until each group has a primary and two gateways a member. */
+  /**
+   * Starts all processes and nodes; waits until each group has a primary and members are reachable.
+   */
   void start() throws Exception {
     for (FleetProcess each : controllers.values()) {
       each.start();
@@ -125,18 +127,21 @@
   }
 
   /**
-   * Creates the groups a few at a time, as all nodes of this machine share its cores: the next ones
-   * follow when the nodes have caught up.
+   * Creates the groups in batches because all nodes share the cores of one machine. The next batch
+   * is created when all nodes have the image with the previous one.
    */
   private void createGroups() throws InterruptedException {
     List<HollowGroup> all = List.copyOf(groups.values());
-    for (int from = 0; from < all.size(); from += GROUPS_AT_ONCE) {
-      List<HollowGroup> some = all.subList(from, Math.min(all.size(), from + GROUPS_AT_ONCE));
-      some.parallelStream().forEach(group -> create(group.createStatement()));
-      await(READY_SECONDS, POLL_MILLIS, () -> some.stream().allMatch(ScaleFleet::hasPrimary));
+    for (int from = 0; from < all.size(); from += GROUPS_PER_BATCH) {
+      List<HollowGroup> batch = all.subList(from, Math.min(all.size(), from + GROUPS_PER_BATCH));
+      batch.parallelStream().forEach(group -> create(group.createStatement()));
+      await(
+          READY_TIMEOUT_SECONDS,
+          POLL_MILLIS,
+          () -> batch.stream().allMatch(ScaleFleet::hasPrimary));
       long newest = nodes.stream().mapToLong(HollowNode::imageVersion).max().orElse(0);
       await(
-          READY_SECONDS,
+          READY_TIMEOUT_SECONDS,
           POLL_MILLIS,
           () -> nodes.stream().allMatch(node -> node.imageVersion() >= newest));
     }
@@ -149,7 +154,7 @@
 
   private void create(String sql) {
     try {
-      await(READY_SECONDS, POLL_MILLIS, () -> tryAdmin(sql) != null);
+      await(READY_TIMEOUT_SECONDS, POLL_MILLIS, () -> tryAdmin(sql) != null);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -158,8 +163,8 @@
   /** Waits until a query returns a number of rows. */
   void awaitRows(String query, int count) throws Exception {
     await(
-        READY_SECONDS,
-        MEMBER_POLL_MILLIS,
+        READY_TIMEOUT_SECONDS,
+        ADMIN_POLL_MILLIS,
         () -> {
           List<Map<String, String>> rows = tryAdmin(query);
           return rows != null && rows.size() == count;
--- a/lab/src/main/java/org/streamcourse/lab/scale/SessionsCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/SessionsCommand.java
@@ -24,14 +24,17 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures what one idle session of a caller costs its proxy, from live heaps at several counts.
+ * Measures the heap that a proxy uses for each idle session of a caller, by a fit to the live heap
+ * at several numbers of sessions.
  */
 @Command(
     name = "sessions",
     mixinStandardHelpOptions = true,
-    description = "Measures the live heap of a proxy for each idle session.")
+    description = "Measures the live heap of a proxy per idle session.")
 public final class SessionsCommand implements Callable<Integer> {
-  /** Last line of the class histogram, which counts live objects only, after a full collection. */
+  /**
+   * Last line of the class histogram, which runs a full collection and counts only live objects.
+   */
   private static final Pattern TOTAL = Pattern.compile("(?m)^Total\\s+\\d+\\s+(\\d+)");
 
   private static final Pattern RESIDENT = Pattern.compile("(?m)^VmRSS:\\s+(\\d+) kB");
@@ -41,10 +44,10 @@
       names = "--counts",
       split = ",",
       defaultValue = "0,500,1000,2000,3000,4000",
-      description = "Numbers of sessions to measure at, rising.")
+      description = "Numbers of sessions to measure at, ascending.")
   private List<Integer> counts;
 
-  /** What a proxy takes at one number of sessions. */
+  /** Memory use of a proxy at one number of sessions. */
   private record Point(int sessions, long heapBytes, long residentBytes) {}
 
   @Override
@@ -55,7 +58,8 @@
     List<Point> points = new ArrayList<>();
     try (Fleet fleet = new Fleet(Profile.ASSOCIATION, folder, options)) {
       fleet.start();
-      // What the first sessions load and compile belongs to the process, not to them.
+      // Warm-up: classes loaded and code compiled for the first sessions are not a cost per
+      // session.
       openUpTo(50, fleet, sessions);
       closeAll(sessions);
       for (int count : counts) {
@@ -102,7 +106,11 @@
   private static long number(Pattern pattern, String text) throws IOException {
     Matcher matcher = pattern.matcher(text);
     if (!matcher.find()) {
-      throw new IOException("no " + pattern + " in: " + text.lines().findFirst().orElse(""));
+      throw new IOException(
+          "pattern "
+              + pattern
+              + " not found in output that starts with: "
+              + text.lines().findFirst().orElse(""));
     }
     return Long.parseLong(matcher.group(1));
   }
--- a/lab/src/main/java/org/streamcourse/lab/scale/Zones.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/Zones.java
@@ -2,12 +2,12 @@
 
 import org.streamcourse.version.image.Placement;
 
-/** The placements of the size to design for: two regions with three zones each. */
+/** Placements of the fleet size that the system is designed for: two regions of three zones. */
 final class Zones {
   /** Number of zones. */
   static final int COUNT = 6;
 
-  /** Distance between the zones of one group's members, so that a group spans both regions. */
+  /** Distance between the zone numbers of one group's members; a group spans both regions. */
   static final int STEP = 1;
 
   private static final int REGIONS = 2;
--- a/lab/src/main/java/org/streamcourse/lab/scale/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/scale/package-info.java
@@ -1,2 +1,2 @@
-/** Many hollow nodes and databases against real controllers, for the slopes of docs/CAPACITY.md. */
+/** Scale runs of hollow nodes and databases against real controllers, for docs/CAPACITY.md. */
 package org.streamcourse.lab.scale;
