--- a/lab/src/main/java/org/streamcourse/lab/LabCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/LabCommand.java
@@ -14,11 +14,11 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The lab's command line. */
+/** Command line of the lab. */
 @Command(
     name = "streamcourse-lab",
     mixinStandardHelpOptions = true,
-    description = "Stand-ins, experiments and the simulator of streamcourse.",
+    description = "Stand-in databases, experiments and the simulator of streamcourse.",
     subcommands = {
       BenchCommand.class,
       DemoCommand.class,
@@ -34,7 +34,7 @@
 public final class LabCommand {
   private static final String LOG_LEVEL = "STREAMCOURSE_LOG_LEVEL";
 
-  /** Commands that run the product's code in this very process. */
+  /** Commands that run code of the server in this process, by default at log level ERROR. */
   private static final Set<String> QUIET_COMMANDS = Set.of("simulate", "simulate-service", "scale");
 
   private LabCommand() {}
--- a/lab/src/main/java/org/streamcourse/lab/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins, experiments and the simulator; none of it is part of the product's jar. */
+/** Stand-in databases, experiments and the simulator. Not part of the server's jar. */
 package org.streamcourse.lab;
--- a/lab/src/test/java/org/streamcourse/lab/KnownRed.java
+++ b/lab/src/test/java/org/streamcourse/lab/KnownRed.java
@@ -11,8 +11,9 @@
 import org.testng.ITestResult;
 
 /**
- * Passes over failures of the tests that KNOWN-RED.txt names, one a line as {@code Class.method |
- * cause | issue}, and prints them. Every other failure fails the run.
+ * Test listener that prints failures of the tests listed in KNOWN-RED.txt and reports them as
+ * skipped. Each line of the file is {@code Class.method | cause | issue}. Any other failure fails
+ * the run.
  */
 public final class KnownRed implements IInvokedMethodListener {
   private static final Path FILE =
--- a/lab/src/test/java/org/streamcourse/lab/docs/DocsTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/docs/DocsTest.java
@@ -16,7 +16,10 @@
 import org.streamcourse.process.SettingsReference;
 import org.testng.annotations.Test;
 
-/** Pages refer only to what exists. */
+/**
+ * Guards against pages that refer to missing files, tests or scenarios, or differ from the
+ * settings.
+ */
 public class DocsTest {
   private static final Path ROOT = Path.of("").toAbsolutePath().getParent();
   private static final Pattern LINK = Pattern.compile("\\]\\(([^)#:]+)(#[^)]*)?\\)");
