--- a/server/src/main/java/org/streamcourse/connection/peer/Envelope.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/Envelope.java
@@ -1,11 +1,11 @@
 package org.streamcourse.connection.peer;
 
-/** A message that carries another one, by whose type it is counted. */
+/** A message that wraps another one; traffic is counted by the type of the wrapped message. */
 public interface Envelope {
   /**
-   * Returns what is carried.
+   * Returns the wrapped message.
    *
-   * @return the message inside
+   * @return the wrapped message
    */
   Object message();
 }
--- a/server/src/main/java/org/streamcourse/connection/peer/FrameCompression.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/FrameCompression.java
@@ -9,9 +9,9 @@
 import org.streamcourse.process.StreamcourseException;
 
 /**
- * Shortens long messages between processes, such as a configuration that goes to every node of
- * another region. The first byte of a frame tells whether the rest is compressed, alone or as a
- * part of the link's stream.
+ * Compresses long messages between processes, such as a configuration that is sent to every node of
+ * another region. The first byte of a frame says whether the rest is plain, compressed separately
+ * or part of the link's compressed stream.
  */
 final class FrameCompression {
   private static final byte PLAIN = 0;
@@ -20,16 +20,16 @@
   /** First byte of a frame that continues the link's compressed stream. */
   static final byte STREAM = 2;
 
-  /** Messages shorter than this are not worth the processor time. */
-  private static final int MIN_BYTES = 1_024;
+  /** Compressing shorter messages saves too few bytes for its processor time. */
+  private static final int MIN_COMPRESSED_BYTES = 1_024;
 
   private static final int CHUNK_BYTES = 4_096;
-  private static final int MAX_BYTES = 96 * 1024 * 1024;
+  private static final int MAX_MESSAGE_BYTES = 96 * 1024 * 1024;
 
   private FrameCompression() {}
 
   static byte[] pack(byte[] message) {
-    if (message.length < MIN_BYTES) {
+    if (message.length < MIN_COMPRESSED_BYTES) {
       byte[] frame = new byte[message.length + 1];
       frame[0] = PLAIN;
       System.arraycopy(message, 0, frame, 1, message.length);
@@ -53,7 +53,7 @@
 
   static byte[] unpack(byte[] frame) {
     if (frame.length == 0) {
-      throw unreadable("it is empty", null);
+      throw unreadable("empty", null);
     }
     if (frame[0] == PLAIN) {
       return Arrays.copyOfRange(frame, 1, frame.length);
@@ -66,11 +66,11 @@
       while (!inflater.finished()) {
         int length = inflater.inflate(chunk);
         if (length == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
-          throw unreadable("it is cut short", null);
+          throw unreadable("truncated", null);
         }
         message.write(chunk, 0, length);
-        if (message.size() > MAX_BYTES) {
-          throw unreadable("it is longer than " + MAX_BYTES + " bytes", null);
+        if (message.size() > MAX_MESSAGE_BYTES) {
+          throw unreadable("longer than " + MAX_MESSAGE_BYTES + " bytes", null);
         }
       }
       return message.toByteArray();
@@ -81,8 +81,8 @@
     }
   }
 
-  static StreamcourseException unreadable(String why, Throwable cause) {
+  static StreamcourseException unreadable(String reason, Throwable cause) {
     return new StreamcourseException(
-        ErrorCode.PROTOCOL_VIOLATION, "unpack", "", "unreadable frame: " + why, 0, cause);
+        ErrorCode.PROTOCOL_VIOLATION, "unpack", "", "unreadable frame: " + reason, 0, cause);
   }
 }
--- a/server/src/main/java/org/streamcourse/connection/peer/FramePacker.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/FramePacker.java
@@ -5,23 +5,32 @@
 import java.util.zip.Deflater;
 
 /**
- * Turns the messages of one link into frames, in the order in which they are written. On a link to
- * another region, small messages share one compressed stream, so that what was said before (names,
- * addresses, members, a statement's text) costs two or three bytes when it is said again: a
- * heartbeat of 300 bytes takes some 60.
+ * Encodes the messages of one peer link as frames, in the order in which they are written. On a
+ * link to another region, small messages share one compressed stream, so that repeated content
+ * (names, addresses, members, a statement's text) takes two or three bytes: a heartbeat of 300
+ * bytes takes some 60.
  *
- * <p>A stream keeps 268 KB, so a link has one only after it has carried {@link #EARNED_BYTES} of
- * small messages. Guarded by the lock of its link.
+ * <p>A stream occupies 268 KB of memory, so a link gets one only after it has carried {@link
+ * #STREAM_THRESHOLD_BYTES} of small messages. Guarded by the lock of its link.
  */
 final class FramePacker {
-  /** Small messages after which a link to another region gets a stream: a node's first seconds. */
-  static final int EARNED_BYTES = 2 * 1_024;
+  /**
+   * Bytes of small messages after which a link to another region gets a stream; an active node
+   * reaches them within seconds.
+   */
+  static final int STREAM_THRESHOLD_BYTES = 2 * 1_024;
 
-  /** Longer messages are compressed alone; the stream's window of 32 KB is kept for short ones. */
+  /**
+   * Longer messages are compressed separately, so that they do not displace short ones from the
+   * stream's window of 32 KB.
+   */
   static final int MAX_STREAM_BYTES = 8 * 1_024;
 
-  /** What ends a flushed block; left out of a frame, and put back by {@link FrameReader}. */
-  static final byte[] FLUSHED = {0, 0, (byte) 0xFF, (byte) 0xFF};
+  /**
+   * Bytes that end each flushed block; {@link FramePacker} omits them from the frame and {@link
+   * FrameReader} restores them.
+   */
+  static final byte[] FLUSH_MARKER = {0, 0, (byte) 0xFF, (byte) 0xFF};
 
   private static final int CHUNK_BYTES = 2 * 1_024;
 
@@ -31,18 +40,18 @@
   private boolean closed;
 
   /**
-   * Packs the next message.
+   * Encodes the next message.
    *
    * @param message encoded message
-   * @param farAway whether the peer stands in another region
+   * @param otherRegion whether the peer is in another region
    * @return frame without its length
    */
-  byte[] pack(byte[] message, boolean farAway) {
+  byte[] pack(byte[] message, boolean otherRegion) {
     boolean fits = message.length > 0 && message.length <= MAX_STREAM_BYTES;
-    if (!farAway || closed || !fits) {
+    if (!otherRegion || closed || !fits) {
       return FrameCompression.pack(message);
     }
-    if (deflater == null && !hasEarnedStream(message.length)) {
+    if (deflater == null && !openStreamAfterThreshold(message.length)) {
       return FrameCompression.pack(message);
     }
     ByteArrayOutputStream frame = new ByteArrayOutputStream(message.length / 2 + 1);
@@ -54,19 +63,19 @@
       frame.write(chunk, 0, length);
     } while (length == chunk.length);
     byte[] packed = frame.toByteArray();
-    return Arrays.copyOf(packed, packed.length - FLUSHED.length);
+    return Arrays.copyOf(packed, packed.length - FLUSH_MARKER.length);
   }
 
-  private boolean hasEarnedStream(int length) {
+  private boolean openStreamAfterThreshold(int length) {
     smallBytes += length;
-    if (smallBytes < EARNED_BYTES) {
+    if (smallBytes < STREAM_THRESHOLD_BYTES) {
       return false;
     }
     deflater = new Deflater(Deflater.DEFAULT_COMPRESSION, true);
     return true;
   }
 
-  /** Gives the stream's memory back; later messages are packed alone. */
+  /** Frees the stream's memory; later messages are compressed separately. */
   void close() {
     closed = true;
     if (deflater != null) {
--- a/server/src/main/java/org/streamcourse/connection/peer/FrameReader.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/FrameReader.java
@@ -5,8 +5,8 @@
 import java.util.zip.Inflater;
 
 /**
- * Turns the frames of one link back into messages, in the order in which they arrive; the other
- * side is a {@link FramePacker}. Used by one thread at a time.
+ * Decodes the frames of one peer link, in the order in which they arrive; the sender uses a {@link
+ * FramePacker}. Used by one thread at a time.
  */
 final class FrameReader {
   private static final int CHUNK_BYTES = 2 * 1_024;
@@ -14,7 +14,7 @@
   private Inflater inflater;
 
   /**
-   * Reads the next frame.
+   * Decodes the next frame.
    *
    * @param frame frame without its length
    * @return encoded message
@@ -30,7 +30,7 @@
     try {
       inflater.setInput(frame, 1, frame.length - 1);
       inflate(message);
-      inflater.setInput(FramePacker.FLUSHED);
+      inflater.setInput(FramePacker.FLUSH_MARKER);
       inflate(message);
     } catch (DataFormatException e) {
       throw FrameCompression.unreadable(e.toString(), e);
@@ -45,16 +45,16 @@
       message.write(chunk, 0, length);
       if (message.size() > FramePacker.MAX_STREAM_BYTES) {
         throw FrameCompression.unreadable(
-            "it is longer than " + FramePacker.MAX_STREAM_BYTES + " bytes", null);
+            "longer than " + FramePacker.MAX_STREAM_BYTES + " bytes", null);
       }
       length = inflater.inflate(chunk);
     }
     if (inflater.needsDictionary() || inflater.finished()) {
-      throw FrameCompression.unreadable("its stream has ended", null);
+      throw FrameCompression.unreadable("compressed stream has ended", null);
     }
   }
 
-  /** Gives the stream's memory back. */
+  /** Frees the stream's memory. */
   void close() {
     if (inflater != null) {
       inflater.end();
--- a/server/src/main/java/org/streamcourse/connection/peer/LinkLog.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/LinkLog.java
@@ -7,7 +7,7 @@
 import org.slf4j.LoggerFactory;
 import org.streamcourse.process.LineBudget;
 
-/** Tells how links between processes end, within a number of lines a second. */
+/** Logs the end of peer links, limited to a number of lines per second. */
 final class LinkLog {
   private static final Logger LOG = LoggerFactory.getLogger(LinkLog.class);
   private static final int LINES_PER_SECOND = 100;
@@ -19,12 +19,12 @@
   }
 
   /**
-   * A link that this process opened has ended.
+   * Logs that a link opened by this process has ended.
    *
    * @param peer name of the peer
    * @param link number of the link in this process
-   * @param messages what was written to it; it may or may not have arrived
-   * @param openedNanos when it was opened
+   * @param messages number of messages written to the link; they may or may not have arrived
+   * @param openedNanos when the link was opened, by {@link System#nanoTime}
    */
   void ended(String peer, long link, long messages, long openedNanos) {
     if (budget.take()) {
@@ -39,7 +39,7 @@
   }
 
   /**
-   * A link that a peer opened has ended.
+   * Logs that a link opened by a peer has ended.
    *
    * @param peer name of the peer
    */
@@ -53,10 +53,10 @@
   }
 
   /**
-   * Messages that waited for a link are dropped.
+   * Logs that messages queued for a link are dropped.
    *
    * @param peer name of the peer
-   * @param messages how many
+   * @param messages number of dropped messages
    * @param cause why there is no link
    */
   void dropped(String peer, int messages, String cause) {
--- a/server/src/main/java/org/streamcourse/connection/peer/LinkTraffic.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/LinkTraffic.java
@@ -7,12 +7,13 @@
 import java.util.function.Consumer;
 
 /**
- * Counts what a process writes to its links, by kind of message and by the peer's distance: bytes
- * as they go into the socket, after compression, with the frame's length. A count costs two
- * additions and two look-ups in tables that no longer change once each kind was sent.
+ * Counts the messages that a process writes to its peer links, and their bytes, by kind of message
+ * and by the peer's distance. Bytes are counted as written to the socket: after compression, with
+ * the frame's length field. Counting a message takes two additions and two look-ups in tables that
+ * no longer change once each kind has been sent.
  */
 public final class LinkTraffic {
-  /** What was sent of one kind to one distance. */
+  /** Messages and bytes of one kind sent to peers at one distance. */
   public static final class Counter {
     private final String kind;
     private final PeerDistance distance;
@@ -25,7 +26,7 @@
     }
 
     /**
-     * Returns the kind.
+     * Returns the kind of message.
      *
      * @return simple name of the message's type
      */
@@ -34,9 +35,9 @@
     }
 
     /**
-     * Returns where it went.
+     * Returns the distance of the receivers.
      *
-     * @return distance of the peers
+     * @return distance of the receivers
      */
     public PeerDistance distance() {
       return distance;
@@ -52,7 +53,7 @@
     }
 
     /**
-     * Returns the bytes written for them.
+     * Returns the bytes written for these messages.
      *
      * @return bytes since the start
      */
@@ -70,7 +71,7 @@
       new EnumMap<>(PeerDistance.class);
   private volatile Consumer<Counter> listener = counter -> {};
 
-  /** Creates counters that stand at zero. */
+  /** Creates the counters, all at zero. */
   public LinkTraffic() {
     for (PeerDistance distance : PeerDistance.values()) {
       counters.put(distance, new ConcurrentHashMap<>());
@@ -78,7 +79,8 @@
   }
 
   /**
-   * Sets who hears of each counter when its first message is sent, on the sender's thread.
+   * Sets the listener that is called with each new counter when its first message is sent, on the
+   * sender's thread.
    *
    * @param consumer the listener
    */
@@ -87,10 +89,10 @@
   }
 
   /**
-   * Returns the type by which a message is counted.
+   * Returns the type under which a message is counted.
    *
-   * @param message what is sent
-   * @return its type, or that of what it carries
+   * @param message message to send
+   * @return type of the message, or of the message that its envelope wraps
    */
   public static Class<?> kindOf(Object message) {
     return message instanceof Envelope envelope
@@ -99,17 +101,17 @@
   }
 
   /**
-   * Counts a message.
+   * Counts a sent message.
    *
    * @param kind type of the message, see {@link #kindOf}
-   * @param distance how far its receiver stands
-   * @param bytes what is written for it
+   * @param distance distance of the receiver
+   * @param bytes bytes written for the message
    */
   public void sent(Class<?> kind, PeerDistance distance, long bytes) {
-    Map<Class<?>, Counter> ofDistance = counters.get(distance);
-    Counter counter = ofDistance.get(kind);
+    Map<Class<?>, Counter> byKind = counters.get(distance);
+    Counter counter = byKind.get(kind);
     if (counter == null) {
-      counter = ofDistance.computeIfAbsent(kind, any -> newCounter(kind, distance));
+      counter = byKind.computeIfAbsent(kind, any -> newCounter(kind, distance));
     }
     counter.add(bytes);
   }
@@ -121,9 +123,9 @@
   }
 
   /**
-   * Passes on all counters.
+   * Calls a consumer with each counter.
    *
-   * @param consumer gets each of them
+   * @param consumer called once for each counter
    */
   public void forEach(Consumer<Counter> consumer) {
     counters.values().forEach(each -> each.values().forEach(consumer));
--- a/server/src/main/java/org/streamcourse/connection/peer/OneWayMessage.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/OneWayMessage.java
@@ -1,7 +1,7 @@
 package org.streamcourse.connection.peer;
 
 /**
- * A message that its receiver need not answer, such as an answer itself. Silence after it does not
- * show that the link is stuck.
+ * A message that its receiver need not answer, such as an answer itself. When nothing arrives after
+ * such a message, the link is not taken for broken.
  */
 public interface OneWayMessage {}
--- a/server/src/main/java/org/streamcourse/connection/peer/PeerAddress.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/PeerAddress.java
@@ -1,9 +1,9 @@
 package org.streamcourse.connection.peer;
 
 /**
- * Where a process accepts links.
+ * Address at which a process accepts peer links.
  *
- * @param host IP number
+ * @param host IP address
  * @param port TCP port
  */
 public record PeerAddress(String host, int port) {}
--- a/server/src/main/java/org/streamcourse/connection/peer/PeerDistance.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/PeerDistance.java
@@ -2,7 +2,7 @@
 
 import org.streamcourse.version.image.Placement;
 
-/** How far a peer stands, which decides what a byte to it costs. */
+/** Distance of a peer by region and zone, which determines the cost of traffic to it. */
 public enum PeerDistance {
   /** In the same zone. */
   ZONE("zone"),
@@ -10,7 +10,7 @@
   REGION("region"),
   /** In another region. */
   OTHER_REGION("other-region"),
-  /** Neither side, or only one, has told where it stands. */
+  /** The placement of one or both sides is not known. */
   UNKNOWN("unknown");
 
   private static final PeerDistance[] BY_RANK = {ZONE, REGION, OTHER_REGION};
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Returns the name on the metrics address.
+   * Returns the value of the metrics label.
    *
    * @return name in lower case
    */
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Tells how far two placements are from each other.
+   * Returns the distance between two placements.
    *
    * @param self a placement, or null when it is not known
    * @param peer another placement, or null when it is not known
--- a/server/src/main/java/org/streamcourse/connection/peer/PeerHandler.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/PeerHandler.java
@@ -2,31 +2,35 @@
 
 import java.util.List;
 
-/** Hears what peers send; must return at once, and may be called while a link is locked. */
+/**
+ * Receives messages from peers and reports of lost links. Its methods must not block, since they
+ * may be called while a link is locked.
+ */
 public interface PeerHandler {
   /**
    * Handles a message.
    *
    * @param peer name of the sender
-   * @param message what arrived
+   * @param message received message
    */
   void receive(String peer, Object message);
 
   /**
-   * A link to or from a peer broke. What was sent to the peer before may or may not have arrived,
-   * except what {@link #undelivered} names.
+   * Called when a link to or from a peer has been lost. Messages sent to the peer before may or may
+   * not have arrived, except those reported to {@link #undelivered}, which never arrive.
    *
    * @param peer name of the peer
    */
   void linkLost(String peer);
 
   /**
-   * No link to a peer came about, and the messages that waited for one are dropped. They were
-   * written to no link, so they never arrive. Of any other message this tells nothing: calls come
-   * on several threads, and one sent earlier or meanwhile may be on a link of its own.
+   * Called when no link to a peer could be opened and the messages queued for it are dropped. They
+   * were not written to any link, so they never arrive. The call implies nothing about other
+   * messages: calls come on several threads, and a message sent earlier or concurrently may have
+   * been written to another link.
    *
    * @param peer name of the peer
-   * @param messages what was dropped, in the order in which it was sent
+   * @param messages dropped messages, in the order in which they were sent
    */
   default void undelivered(String peer, List<Object> messages) {}
 }
--- a/server/src/main/java/org/streamcourse/connection/peer/PeerNetwork.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/PeerNetwork.java
@@ -4,9 +4,9 @@
 
 /**
  * Sends typed messages to other processes of the fleet. Messages to one peer arrive in order or not
- * at all; a lost link loses those in flight, and the sender learns of it only through missing
- * answers or {@link PeerHandler#linkLost}. What was never written to a link is told message by
- * message ({@link PeerHandler#undelivered}).
+ * at all. Messages in flight are lost with their link, which the sender notices only by missing
+ * answers or by {@link PeerHandler#linkLost}. Messages that were never written to a link are passed
+ * to {@link PeerHandler#undelivered}.
  */
 public interface PeerNetwork {
   /**
@@ -18,7 +18,7 @@
   void send(String peer, Object message);
 
   /**
-   * Sends one message to many.
+   * Sends one message to several peers.
    *
    * @param peers names of nodes or controllers
    * @param message instance of a registered type
--- a/server/src/main/java/org/streamcourse/connection/peer/TcpPeerNetwork.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/TcpPeerNetwork.java
@@ -32,22 +32,22 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * Links over TCP. A process opens one link to each peer to which it sends, on its first message,
- * and receives on the links that its peers opened. While a link is being opened messages wait, up
- * to a limit; a message that can't be sent is dropped, as the contract of {@link PeerNetwork}
- * allows.
+ * Peer links over TCP. A process opens one link to each peer to which it sends, on its first
+ * message, and receives on the links that its peers have opened. Messages are queued, up to a
+ * limit, while their link is being opened; a message that can't be sent is dropped, as the contract
+ * of {@link PeerNetwork} allows.
  */
 public final class TcpPeerNetwork implements PeerNetwork {
   private static final Logger LOG = LoggerFactory.getLogger(TcpPeerNetwork.class);
   private static final int MAX_FRAME_BYTES = 96 * 1024 * 1024;
   private static final int LENGTH_BYTES = Integer.BYTES;
-  private static final int MAX_WAITING = 1_024;
+  private static final int MAX_QUEUED_MESSAGES = 1_024;
   private static final int MAX_UNSENT_BYTES = 32 * 1024 * 1024;
-  private static final long REDIAL_MILLIS = 100;
+  private static final long MIN_REDIAL_MILLIS = 100;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
-  /** Silence that is borne on links whose peers need not answer. */
-  private static final Duration ANY_SILENCE = Duration.ofDays(1);
+  /** Reply time-out where peers need not answer; long enough to have no effect in practice. */
+  private static final Duration NO_REPLY_TIMEOUT = Duration.ofDays(1);
 
   /** A message and its encoding. */
   private record Outgoing(Object message, byte[] bytes) {
@@ -61,9 +61,9 @@
   private final FleetKey key;
   private final LoopResources loops;
   private final Function<String, PeerAddress> addresses;
-  private final Duration silence;
+  private final Duration replyTimeout;
   private final Map<String, Link> links = new ConcurrentHashMap<>();
-  private final Set<String> greeted = ConcurrentHashMap.newKeySet();
+  private final Set<String> acceptedPeers = ConcurrentHashMap.newKeySet();
   private final Map<String, Placement> placements = new ConcurrentHashMap<>();
   private final LinkTraffic traffic = new LinkTraffic();
   private final LinkLog log = new LinkLog();
@@ -80,9 +80,9 @@
    *
    * @param self name of this process
    * @param codec codec that knows all messages
-   * @param key proves membership of the fleet
+   * @param key key that proves membership of the fleet
    * @param loops event loops
-   * @param addresses finds a peer's address; may return null for an unknown peer
+   * @param addresses returns a peer's address, or null for an unknown peer
    */
   public TcpPeerNetwork(
       String self,
@@ -90,20 +90,21 @@
       FleetKey key,
       LoopResources loops,
       Function<String, PeerAddress> addresses) {
-    this(self, codec, key, loops, addresses, ANY_SILENCE);
+    this(self, codec, key, loops, addresses, NO_REPLY_TIMEOUT);
   }
 
   /**
-   * Creates a network between processes that always answer each other, so that silence of a peer
-   * shows that a link is stuck: one that was cut for a while may stay so for long after the cut.
+   * Creates a network between processes that always answer each other, so that a missing answer
+   * shows that a link is broken. After a network partition, a TCP connection may remain unusable
+   * long after the partition has healed.
    *
    * @param self name of this process
    * @param codec codec that knows all messages
-   * @param key proves membership of the fleet
+   * @param key key that proves membership of the fleet
    * @param loops event loops
-   * @param addresses finds a peer's address; may return null for an unknown peer
-   * @param silence time without a word of a peer that was written to, after which the next message
-   *     opens a new link
+   * @param addresses returns a peer's address, or null for an unknown peer
+   * @param replyTimeout time without any message from a peer while an answer is outstanding, after
+   *     which the next message to it opens a new link
    */
   public TcpPeerNetwork(
       String self,
@@ -111,28 +112,28 @@
       FleetKey key,
       LoopResources loops,
       Function<String, PeerAddress> addresses,
-      Duration silence) {
+      Duration replyTimeout) {
     this.self = self;
     this.codec = codec;
     this.key = key;
     this.loops = loops;
     this.addresses = addresses;
-    this.silence = silence;
+    this.replyTimeout = replyTimeout;
   }
 
   /**
-   * Sets where this process stands, which its peers hear in the first message on each link.
+   * Sets the placement of this process, which is sent to peers in the first message on each link.
    *
-   * @param value region and zone; to be set before the start
+   * @param value region and zone; must be set before {@link #start}
    */
   public void setPlacement(Placement value) {
     placement = value;
   }
 
   /**
-   * Returns what was sent by kind and distance.
+   * Returns the counters of sent messages by kind and distance.
    *
-   * @return counters
+   * @return traffic counters
    */
   public LinkTraffic traffic() {
     return traffic;
@@ -141,9 +142,9 @@
   /**
    * Starts to accept links.
    *
-   * @param host IP number to bind
+   * @param host IP address to bind
    * @param port TCP port to bind
-   * @param receiver hears messages, on event loops
+   * @param receiver handler of messages, called on event loops
    */
   public void start(String host, int port, PeerHandler receiver) {
     handler = receiver;
@@ -209,7 +210,7 @@
     links.computeIfAbsent(peer, Link::new).send(message);
   }
 
-  /** A peer's placement is known once it has opened a link to this process. */
+  /** The distance is unknown until the peer has sent its placement on a link to this process. */
   private PeerDistance distanceTo(String peer) {
     return PeerDistance.between(placement, placements.get(peer));
   }
@@ -221,20 +222,21 @@
   }
 
   /**
-   * A peer that opens another link took the one before for stuck, or has started again; the way to
-   * it may be as stuck. The peer gets the same news of the next link, which is new then and stays.
+   * Handles a link opened by a peer. A peer that opens another link has restarted or found its
+   * previous link broken; the link to the peer may be broken too and is closed unless it is recent.
+   * The peer does the same on the link that replaces it, but the peer's link is recent by then.
    */
   private void accepted(String peer) {
     Link link = links.get(peer);
-    if (!greeted.add(peer) && link != null) {
-      link.closeOlderThan(silence);
+    if (!acceptedPeers.add(peer) && link != null) {
+      link.closeOlderThan(replyTimeout);
     }
   }
 
-  private void heard(String peer) {
+  private void messageReceived(String peer) {
     Link link = links.get(peer);
     if (link != null) {
-      link.heard();
+      link.messageReceived();
     }
   }
 
@@ -256,7 +258,7 @@
       receivedBytes.addAndGet(bytes.length + LENGTH_BYTES);
       Object message = codec.decode(reader.read(bytes));
       if (peer != null) {
-        heard(peer);
+        messageReceived(peer);
         handler.receive(peer, message);
         return;
       }
@@ -267,7 +269,8 @@
         }
         accepted(peer);
       } else {
-        LOG.warn("refuses a link from {}", context.channel().remoteAddress());
+        LOG.warn(
+            "refuses a peer link from {}: wrong version or key", context.channel().remoteAddress());
         context.close();
       }
     }
@@ -290,96 +293,98 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       if (cause instanceof StreamcourseException) {
-        LOG.error("link from {} broke: {}", peer, cause.toString());
+        LOG.error("link from peer {} failed: {}; closes the link", peer, cause.toString());
       }
       context.close();
     }
   }
 
-  /** A link that this process opens; guarded by its own lock, under which the handler is called. */
+  /** A link opened by this process. Guarded by its lock, which is held during handler calls. */
   private final class Link {
     private final String peer;
-    private final List<Outgoing> waiting = new ArrayList<>();
+    private final List<Outgoing> queue = new ArrayList<>();
     private FramePacker packer = new FramePacker();
     private Channel channel;
     private boolean dialing;
     private long lastDialNanos;
     private long number;
     private long openedNanos;
-    private long written;
+    private long writtenMessages;
     private long unansweredSinceNanos;
 
     Link(String peer) {
       this.peer = peer;
     }
 
-    synchronized void heard() {
+    synchronized void messageReceived() {
       unansweredSinceNanos = 0;
     }
 
-    /** Whether the peer was written to on the link and has been silent for long. */
-    private boolean isStuck(boolean expectsAnswer) {
+    /** Returns whether an answer is outstanding and nothing arrived within the reply time-out. */
+    private boolean isUnresponsive(boolean expectsAnswer) {
       long now = System.nanoTime();
       if (unansweredSinceNanos == 0) {
         unansweredSinceNanos = expectsAnswer ? now : 0;
         return false;
       }
-      if (now - unansweredSinceNanos <= silence.toNanos()) {
+      if (now - unansweredSinceNanos <= replyTimeout.toNanos()) {
         return false;
       }
-      LOG.info("link to {} is silent; opens another", peer);
+      LOG.info(
+          "no reply from peer {} within {} ms; opens a new link", peer, replyTimeout.toMillis());
       unansweredSinceNanos = now;
       return true;
     }
 
     synchronized void send(Outgoing message) {
-      if (channel != null && (!channel.isActive() || isStuck(message.expectsAnswer()))) {
+      if (channel != null && (!channel.isActive() || isUnresponsive(message.expectsAnswer()))) {
         Channel broken = channel;
         ended();
         broken.close();
-        // lost() does not tell it again.
+        // ended() has cleared the channel, so that lost() does not report it again.
         handler.linkLost(peer);
       }
       if (channel != null) {
         write(message);
         return;
       }
-      if (waiting.size() >= MAX_WAITING) {
-        tellUndelivered(List.of(message), "too many messages wait for the dial");
+      if (queue.size() >= MAX_QUEUED_MESSAGES) {
+        reportUndelivered(List.of(message), MAX_QUEUED_MESSAGES + " messages are queued already");
         return;
       }
-      waiting.add(message);
+      queue.add(message);
       dial();
     }
 
     private void write(Outgoing message) {
       ChannelOutboundBuffer unsent = channel.unsafe().outboundBuffer();
       if (unsent != null && unsent.totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
-        LOG.warn("link to {} is stuck; closes it", peer);
+        LOG.warn("more than {} unsent bytes to peer {}; closes the link", MAX_UNSENT_BYTES, peer);
         channel.close();
         return;
       }
-      written++;
+      writtenMessages++;
       PeerDistance distance = distanceTo(peer);
       byte[] bytes = packer.pack(message.bytes(), distance == PeerDistance.OTHER_REGION);
       sentBytes.addAndGet(LENGTH_BYTES + bytes.length);
       traffic.sent(LinkTraffic.kindOf(message.message()), distance, LENGTH_BYTES + bytes.length);
-      // Length and content in one buffer, so that one call of the system writes both.
+      // Length and content share one buffer, so that a single system call writes both.
       ByteBuf frame = Unpooled.buffer(LENGTH_BYTES + bytes.length);
       frame.writeInt(bytes.length).writeBytes(bytes);
       writeInOrder(channel, frame);
     }
 
     /**
-     * Frames of a compressed stream must leave in the order in which they were packed. A write from
-     * the link's own thread would overtake those of others that wait for it, so all wait there.
+     * Writes a frame on the channel's event loop. Frames of a compressed stream must be sent in the
+     * order in which they were packed; a direct write from the event loop's own thread would
+     * overtake the writes that other threads have queued there, so every write is queued.
      */
     private void writeInOrder(Channel target, ByteBuf frame) {
       try {
         target.eventLoop().execute(() -> target.writeAndFlush(frame, target.voidPromise()));
       } catch (RejectedExecutionException e) {
         frame.release();
-        LOG.debug("link to {} is not written to, since the process ends", peer);
+        LOG.debug("message to peer {} dropped: the event loop has shut down", peer);
       }
     }
 
@@ -389,9 +394,9 @@
         return;
       }
       PeerAddress address = addresses.apply(peer);
-      boolean tooSoon = sinceLast < Duration.ofMillis(REDIAL_MILLIS).toNanos();
+      boolean tooSoon = sinceLast < Duration.ofMillis(MIN_REDIAL_MILLIS).toNanos();
       if (address == null || (lastDialNanos != 0 && tooSoon)) {
-        drop(address == null ? "its address is not known" : "the last dial was just now");
+        drop(address == null ? "address unknown" : "previous connection attempt too recent");
         return;
       }
       dialing = true;
@@ -407,7 +412,8 @@
     }
 
     private int connectMillis() {
-      Duration shorter = silence.compareTo(CONNECT_TIMEOUT) < 0 ? silence : CONNECT_TIMEOUT;
+      Duration shorter =
+          replyTimeout.compareTo(CONNECT_TIMEOUT) < 0 ? replyTimeout : CONNECT_TIMEOUT;
       return (int) shorter.toMillis();
     }
 
@@ -419,22 +425,23 @@
       dialing = false;
       number = linkNumbers.incrementAndGet();
       openedNanos = System.nanoTime();
-      written = 0;
+      writtenMessages = 0;
       LinkHello hello =
           new LinkHello(LinkMessage.PROTOCOL_VERSION, self, key.sign(self), placement);
       packer.close();
       packer = new FramePacker();
-      List<Outgoing> due = new ArrayList<>(waiting);
-      waiting.clear();
-      due.add(0, outgoing(hello));
+      List<Outgoing> messages = new ArrayList<>(queue);
+      queue.clear();
+      messages.add(0, outgoing(hello));
       try {
-        due.forEach(this::write);
+        messages.forEach(this::write);
       } catch (RuntimeException e) {
-        // Some may have been written, so the end of the link judges all of them.
-        LOG.error("link to {} can't be written to", peer, e);
+        // Some messages may have been written, so only the lost link is reported, none of them as
+        // undelivered.
+        LOG.error("writing queued messages to peer {} failed; closes the link", peer, e);
         opened.close();
       }
-      // Last, since a connection that is gone already is told at once.
+      // Registered last, since the callback runs at once when the connection is closed already.
       connection.onDispose(() -> lost(opened));
     }
 
@@ -444,19 +451,19 @@
     }
 
     private void drop(String cause) {
-      List<Outgoing> dropped = List.copyOf(waiting);
-      waiting.clear();
-      tellUndelivered(dropped, cause);
+      List<Outgoing> dropped = List.copyOf(queue);
+      queue.clear();
+      reportUndelivered(dropped, cause);
     }
 
-    private void tellUndelivered(List<Outgoing> dropped, String cause) {
+    private void reportUndelivered(List<Outgoing> dropped, String cause) {
       log.dropped(peer, dropped.size(), cause);
       if (handler != null) {
         handler.undelivered(peer, dropped.stream().map(Outgoing::message).toList());
       }
     }
 
-    /** Tells once for each channel, since a later message goes to the peer's next run. */
+    /** Reports a lost channel once: later messages may go to the peer's next incarnation. */
     private void lost(Channel ended) {
       if (isCurrent(ended) && handler != null) {
         handler.linkLost(peer);
@@ -474,7 +481,7 @@
 
     private void ended() {
       channel = null;
-      log.ended(peer, number, written, openedNanos);
+      log.ended(peer, number, writtenMessages, openedNanos);
     }
 
     synchronized void closeOlderThan(Duration age) {
--- a/server/src/test/java/org/streamcourse/connection/peer/FrameCompressionTest.java
+++ b/server/src/test/java/org/streamcourse/connection/peer/FrameCompressionTest.java
@@ -9,26 +9,26 @@
 import org.streamcourse.process.StreamcourseException;
 import org.testng.annotations.Test;
 
-/** Frames between processes come back as they were, and damaged ones are refused. */
+/** Frames decode to the original message, and corrupt frames are refused. */
 public class FrameCompressionTest {
   private static byte[] text(int times) {
     return "route of a service, ".repeat(times).getBytes(StandardCharsets.UTF_8);
   }
 
   @Test
-  public void shortAndLongMessagesComeBack() {
+  public void shortAndLongMessagesRoundTrip() {
     for (int times : new int[] {0, 1, 10, 1_000, 100_000}) {
       assertEquals(FrameCompression.unpack(FrameCompression.pack(text(times))), text(times));
     }
   }
 
   @Test
-  public void longMessagesAreShortened() {
+  public void longMessagesAreCompressed() {
     assertTrue(FrameCompression.pack(text(1_000)).length < text(1_000).length / 10);
   }
 
   @Test
-  public void damagedFramesAreRefused() {
+  public void corruptFramesAreRefused() {
     byte[] frame = FrameCompression.pack(text(1_000));
     byte[] cut = Arrays.copyOf(frame, frame.length / 2);
     byte[] changed = frame.clone();
--- a/server/src/test/java/org/streamcourse/connection/peer/FramePackerTest.java
+++ b/server/src/test/java/org/streamcourse/connection/peer/FramePackerTest.java
@@ -19,7 +19,10 @@
 import org.streamcourse.version.image.TermPosition;
 import org.testng.annotations.Test;
 
-/** What is said again and again to another region takes few bytes, and comes back as it was. */
+/**
+ * Repeated content takes few bytes on links to another region, and frames decode to the original
+ * messages.
+ */
 public class FramePackerTest {
   private static final int HEARTBEATS = 200;
   private static final int MEMBERS = 6;
@@ -56,7 +59,7 @@
   }
 
   @Test
-  public void messagesOfAllLengthsComeBackInTheirOrder() {
+  public void messagesOfAllLengthsRoundTripInOrder() {
     FramePacker packer = new FramePacker();
     FrameReader reader = new FrameReader();
     Random random = new Random(3);
@@ -70,17 +73,17 @@
   }
 
   @Test
-  public void aLinkWithinARegionAndAQuietOneHaveNoStream() {
-    FramePacker near = new FramePacker();
+  public void linksWithinARegionAndLinksWithFewMessagesHaveNoStream() {
+    FramePacker sameRegion = new FramePacker();
     for (int i = 0; i < HEARTBEATS; i++) {
-      assertTrue(near.pack(heartbeat(i), false)[0] != FrameCompression.STREAM);
+      assertTrue(sameRegion.pack(heartbeat(i), false)[0] != FrameCompression.STREAM);
     }
-    FramePacker quiet = new FramePacker();
-    assertTrue(quiet.pack(heartbeat(0), true)[0] != FrameCompression.STREAM);
+    FramePacker fewMessages = new FramePacker();
+    assertTrue(fewMessages.pack(heartbeat(0), true)[0] != FrameCompression.STREAM);
   }
 
   @Test
-  public void aClosedPackerGoesOnWithoutItsStream() {
+  public void aClosedPackerCompressesMessagesSeparately() {
     FramePacker packer = new FramePacker();
     for (int i = 0; i < HEARTBEATS; i++) {
       packer.pack(heartbeat(i), true);
@@ -91,13 +94,13 @@
   }
 
   @Test
-  public void aDamagedStreamIsRefused() {
+  public void corruptAndOversizedStreamsAreRefused() {
     byte[] frame = new byte[100];
     new Random(1).nextBytes(frame);
     frame[0] = FrameCompression.STREAM;
     assertThrows(StreamcourseException.class, () -> new FrameReader().read(frame));
-    byte[] bomb = new byte[FramePacker.MAX_STREAM_BYTES * 4];
-    assertThrows(StreamcourseException.class, () -> new FrameReader().read(streamOf(bomb)));
+    byte[] oversized = new byte[FramePacker.MAX_STREAM_BYTES * 4];
+    assertThrows(StreamcourseException.class, () -> new FrameReader().read(streamOf(oversized)));
   }
 
   private static byte[] streamOf(byte[] content) {
@@ -107,6 +110,6 @@
     int length = deflater.deflate(out, 1, out.length - 1, java.util.zip.Deflater.SYNC_FLUSH);
     deflater.end();
     out[0] = FrameCompression.STREAM;
-    return java.util.Arrays.copyOf(out, 1 + length - FramePacker.FLUSHED.length);
+    return java.util.Arrays.copyOf(out, 1 + length - FramePacker.FLUSH_MARKER.length);
   }
 }
--- a/server/src/test/java/org/streamcourse/connection/peer/LinkTrafficTest.java
+++ b/server/src/test/java/org/streamcourse/connection/peer/LinkTrafficTest.java
@@ -9,9 +9,9 @@
 import org.streamcourse.version.image.Placement;
 import org.testng.annotations.Test;
 
-/** What is sent is counted by kind and distance. */
+/** Sent messages are counted by kind and distance. */
 public class LinkTrafficTest {
-  private static final Placement HERE = new Placement("r1", "r1-a");
+  private static final Placement SELF = new Placement("r1", "r1-a");
 
   @Test
   public void countsByKindAndDistance() {
@@ -29,18 +29,18 @@
   }
 
   @Test
-  public void whatIsInAnEnvelopeIsCountedByItsOwnKind() {
+  public void envelopesAreCountedByTheTypeOfTheWrappedMessage() {
     AgreementEnvelope envelope = new AgreementEnvelope("c@1", new JoinRequest("d@2", 0));
     assertEquals(LinkTraffic.kindOf(envelope), JoinRequest.class);
   }
 
   @Test
-  public void aDistanceIsKnownOnceBothPlacementsAre() {
-    assertEquals(PeerDistance.between(HERE, HERE), PeerDistance.ZONE);
-    assertEquals(PeerDistance.between(HERE, new Placement("r1", "r1-b")), PeerDistance.REGION);
+  public void distanceIsKnownOnlyWhenBothPlacementsAre() {
+    assertEquals(PeerDistance.between(SELF, SELF), PeerDistance.ZONE);
+    assertEquals(PeerDistance.between(SELF, new Placement("r1", "r1-b")), PeerDistance.REGION);
     assertEquals(
-        PeerDistance.between(HERE, new Placement("r2", "r2-a")), PeerDistance.OTHER_REGION);
-    assertEquals(PeerDistance.between(null, HERE), PeerDistance.UNKNOWN);
-    assertEquals(PeerDistance.between(HERE, null), PeerDistance.UNKNOWN);
+        PeerDistance.between(SELF, new Placement("r2", "r2-a")), PeerDistance.OTHER_REGION);
+    assertEquals(PeerDistance.between(null, SELF), PeerDistance.UNKNOWN);
+    assertEquals(PeerDistance.between(SELF, null), PeerDistance.UNKNOWN);
   }
 }
--- a/server/src/test/java/org/streamcourse/connection/peer/SimulatedLinks.java
+++ b/server/src/test/java/org/streamcourse/connection/peer/SimulatedLinks.java
@@ -11,12 +11,12 @@
 import reactor.core.scheduler.Scheduler;
 
 /**
- * Links between processes on a virtual clock, with the time that a message takes between zones and
- * regions. What is sent is encoded and counted as on real links.
+ * Peer links between processes on a virtual clock, with the latencies between zones and regions.
+ * Messages are encoded and counted as on real links.
  */
 public final class SimulatedLinks {
-  /** One-way times in milliseconds by rank of distance; those of the larger sites played. */
-  private static final long[] WAY_MILLIS = {0, 1, 20};
+  /** One-way latencies by rank of distance: same zone, same region, other region. */
+  private static final long[] LATENCY_MILLIS = {0, 1, 20};
 
   private static final int LENGTH_BYTES = Integer.BYTES;
 
@@ -29,10 +29,10 @@
   private final Map<String, LinkTraffic> traffic = new TreeMap<>();
   private final Map<Pair, FramePacker> packers = new HashMap<>();
   private final Set<Pair> cuts = new HashSet<>();
-  private final Set<String> silent = new HashSet<>();
+  private final Set<String> isolated = new HashSet<>();
 
   /**
-   * Creates links.
+   * Creates the network, without processes.
    *
    * @param clock virtual clock
    * @param codec codec that knows all messages
@@ -45,9 +45,9 @@
   /**
    * Adds a process.
    *
-   * @param name its name
+   * @param name name of the process
    * @param placement region and zone
-   * @return its way to the others
+   * @return network on which the process sends
    */
   public PeerNetwork add(String name, Placement placement) {
     placements.put(name, placement);
@@ -56,44 +56,44 @@
   }
 
   /**
-   * Sets who hears what a process is sent.
+   * Sets the handler of the messages that are sent to a process.
    *
-   * @param name its name
-   * @param handler hears messages
+   * @param name name of the process
+   * @param handler handler of the messages
    */
   public void attach(String name, PeerHandler handler) {
     handlers.put(name, handler);
   }
 
   /**
-   * Returns what a process has sent.
+   * Returns the counters of the messages that a process has sent.
    *
-   * @param name its name
-   * @return counters
+   * @param name name of the process
+   * @return traffic counters
    */
   public LinkTraffic trafficOf(String name) {
     return traffic.get(name);
   }
 
-  /** Loses all that is sent between two processes from now on. */
+  /** Drops all messages between two processes, in both directions, until {@link #heal}. */
   public void cut(String one, String other) {
     cuts.add(new Pair(one, other));
     cuts.add(new Pair(other, one));
   }
 
-  /** Loses all that a process sends or is sent from now on. */
-  public void silence(String name) {
-    silent.add(name);
+  /** Drops all messages from and to a process until {@link #heal}. */
+  public void isolate(String name) {
+    isolated.add(name);
   }
 
-  /** Ends all cuts and silences. */
+  /** Restores all links. */
   public void heal() {
     cuts.clear();
-    silent.clear();
+    isolated.clear();
   }
 
   private void send(String from, String to, Object message) {
-    if (silent.contains(from) || !placements.containsKey(to)) {
+    if (isolated.contains(from) || !placements.containsKey(to)) {
       return;
     }
     byte[] encoded = codec.encode(message);
@@ -104,12 +104,14 @@
     int bytes = packer.pack(encoded, distance == PeerDistance.OTHER_REGION).length + LENGTH_BYTES;
     traffic.get(from).sent(LinkTraffic.kindOf(message), distance, bytes);
     clock.schedule(
-        () -> arrive(from, to, encoded), WAY_MILLIS[self.distanceTo(peer)], TimeUnit.MILLISECONDS);
+        () -> deliver(from, to, encoded),
+        LATENCY_MILLIS[self.distanceTo(peer)],
+        TimeUnit.MILLISECONDS);
   }
 
-  private void arrive(String from, String to, byte[] encoded) {
+  private void deliver(String from, String to, byte[] encoded) {
     PeerHandler handler = handlers.get(to);
-    if (handler != null && !silent.contains(to) && !cuts.contains(new Pair(from, to))) {
+    if (handler != null && !isolated.contains(to) && !cuts.contains(new Pair(from, to))) {
       handler.receive(from, codec.decode(encoded));
     }
   }
