--- a/server/src/main/java/org/streamcourse/connection/session/ClientChannel.java
+++ b/server/src/main/java/org/streamcourse/connection/session/ClientChannel.java
@@ -2,22 +2,22 @@
 
 import org.streamcourse.request.statement.Answer;
 
-/** The connection of one caller, below the meaning of what flows on it. */
+/** The connection of one caller, as its session uses it. */
 public interface ClientChannel {
-  /** The session is open; the caller may send statements. */
+  /** Notifies the caller that the session is open and accepts statements. */
   void welcome();
 
   /**
-   * Sends the whole answer to one statement.
+   * Sends the complete answer to one statement.
    *
    * @param answer the answer
    */
   void answer(Answer answer);
 
   /**
-   * Sends an error outside any statement and closes the connection.
+   * Sends an error that belongs to no statement, and closes the connection.
    *
-   * @param error why
+   * @param error reason for closing
    */
   void refuse(Answer error);
 
--- a/server/src/main/java/org/streamcourse/connection/session/ClientMessage.java
+++ b/server/src/main/java/org/streamcourse/connection/session/ClientMessage.java
@@ -4,13 +4,13 @@
 import org.streamcourse.request.statement.StatementRequest;
 import org.streamcourse.version.image.KeyDigest;
 
-/** What a caller sends. */
+/** A message from a caller. */
 public sealed interface ClientMessage {
   /**
    * First message on a connection.
    *
    * @param database database name
-   * @param key digest of what the caller shows; a tenant's key on most routes
+   * @param key digest of the key that the caller presents; a tenant's key on most routes
    */
   record Start(String database, KeyDigest key) implements ClientMessage {}
 
@@ -25,10 +25,10 @@
   record Terminate() implements ClientMessage {}
 
   /**
-   * Bytes that are no message; the connection can't go on.
+   * Bytes that are not a valid message; the connection is closed.
    *
-   * @param code what is wrong
-   * @param why text for a person
+   * @param code kind of error
+   * @param reason description for the caller
    */
-  record Unreadable(AnswerCode code, String why) implements ClientMessage {}
+  record Unreadable(AnswerCode code, String reason) implements ClientMessage {}
 }
--- a/server/src/main/java/org/streamcourse/connection/session/ClientReply.java
+++ b/server/src/main/java/org/streamcourse/connection/session/ClientReply.java
@@ -2,7 +2,7 @@
 
 import org.streamcourse.request.statement.Answer;
 
-/** What is sent to a caller. */
+/** A message to a caller. */
 public sealed interface ClientReply {
   /** The session is open. */
   record Welcome() implements ClientReply {}
@@ -15,9 +15,9 @@
   record Answered(Answer answer) implements ClientReply {}
 
   /**
-   * An error outside any statement; the connection is closed after it.
+   * An error that belongs to no statement; the connection is closed after it.
    *
-   * @param error why
+   * @param error reason for closing
    */
   record Refused(Answer error) implements ClientReply {}
 }
--- a/server/src/main/java/org/streamcourse/connection/session/ClientSession.java
+++ b/server/src/main/java/org/streamcourse/connection/session/ClientSession.java
@@ -23,34 +23,35 @@
 import reactor.core.Disposable;
 
 /**
- * The session of one caller: its values, prepared names, newest commit and transaction. Statements
- * are carried out one after the other.
+ * The session of one caller: its values, prepared statements, newest commit position and
+ * transaction. Statements are executed one after the other.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>Each statement gets exactly one answer, and nothing is sent when nothing is asked.
- *   <li>A transaction's statements run on one link only, which serves no other session meanwhile.
+ *   <li>Each statement gets exactly one answer, and no answer is sent without a statement.
+ *   <li>All statements of a transaction run on one member link, which serves no other session
+ *       meanwhile.
  *   <li>Each statement runs for the tenant that holds the session's key in the document in force;
  *       without one it does not run, and an open transaction is rolled back.
- *   <li>That nothing is kept is said only when the member said so, or no commit was sent and the
- *       link has been rolled back or closed.
+ *   <li>A transaction is reported as aborted only when the member reported it, or when no commit
+ *       was sent and the member link has been rolled back or closed.
  * </ul>
  *
  * <p>All methods run on the proxy's worker.
  */
 public final class ClientSession {
-  /** Time that a session waits for its node to start; callers give up a while later. */
-  private static final long MOST_START_WAIT_MILLIS = 1_500;
+  /** Maximum wait for the node's first configuration; callers time out somewhat later. */
+  private static final long MAX_START_WAIT_MILLIS = 1_500;
 
   private static final long START_POLL_MILLIS = 30;
   private static final int MAX_QUEUED_STATEMENTS = 64;
   private static final String TOO_MANY_NAMES =
-      "the most names of a session are " + SessionNames.MOST;
-  private static final String NOT_PREPARED = "nothing is prepared as ";
-  private static final String UNKNOWN_KEY = "no tenant holds the key";
+      "a session can have at most " + SessionNames.MAX_NAMES + " names";
+  private static final String NO_PREPARED_STATEMENT = "no prepared statement ";
+  private static final String UNKNOWN_KEY = "no tenant has this key";
   private static final String KEYS_NOT_CONFIRMED =
-      "the keys in force are not known for sure here; retry-after-ms=500";
+      "this node cannot confirm the keys in force; retry-after-ms=500";
 
   private final SessionNode node;
   private final ClientChannel channel;
@@ -71,10 +72,10 @@
   private boolean ended;
 
   /**
-   * Creates a session that has not begun.
+   * Creates a session that has not started.
    *
-   * @param node what all sessions share
-   * @param channel way to the caller
+   * @param node services of the node
+   * @param channel connection of the caller
    * @param number number of the session on this node
    */
   public ClientSession(SessionNode node, ClientChannel channel, long number) {
@@ -83,12 +84,12 @@
     this.number = number;
   }
 
-  // ---- messages of the caller ----
+  // ---- messages from the caller ----
 
   /**
    * Handles a message.
    *
-   * @param message what arrived
+   * @param message received message
    */
   public void receive(ClientMessage message) {
     if (ended) {
@@ -99,7 +100,7 @@
     } else if (message instanceof ClientMessage.Query query) {
       query(query.request());
     } else if (message instanceof ClientMessage.Unreadable unreadable) {
-      refuse(unreadable.code(), unreadable.why());
+      refuse(unreadable.code(), unreadable.reason());
     } else {
       end();
     }
@@ -107,7 +108,7 @@
 
   private void start(ClientMessage.Start start) {
     if (database != null) {
-      refuse(AnswerCode.MALFORMED, "the session has begun already");
+      refuse(AnswerCode.MALFORMED, "the session has started already");
     } else if (!node.isServing()) {
       waitForConfiguration(start);
     } else {
@@ -117,7 +118,7 @@
 
   private void startAt(ClientMessage.Start start, Optional<RouteRule> route) {
     if (route.isEmpty()) {
-      refuse(AnswerCode.UNKNOWN_DATABASE, "there is no database " + start.database());
+      refuse(AnswerCode.UNKNOWN_DATABASE, "unknown database " + start.database());
     } else if (!mayCheckKeys(route.get())) {
       refuse(AnswerCode.BUSY, KEYS_NOT_CONFIRMED);
     } else if (document().callerOf(route.get(), start.key()).isEmpty()) {
@@ -134,59 +135,59 @@
   }
 
   private boolean mayCheckKeys(RouteRule route) {
-    return !route.needsKey() || node.knowsKeys();
+    return !route.needsKey() || node.hasConfirmedKeys();
   }
 
-  /** A node that is just starting will have the configuration soon. */
+  /** Retries the start of the session, since a starting node receives its configuration shortly. */
   private void waitForConfiguration(ClientMessage.Start start) {
-    if (waitedMillis >= MOST_START_WAIT_MILLIS) {
-      refuse(AnswerCode.BUSY, "no configuration is in force here; retry-after-ms=500");
+    if (waitedMillis >= MAX_START_WAIT_MILLIS) {
+      refuse(AnswerCode.BUSY, "this node has no configuration in force yet; retry-after-ms=500");
       return;
     }
     waitedMillis += START_POLL_MILLIS;
     timer = node.worker().schedule(START_POLL_MILLIS, () -> receive(start));
   }
 
-  private void refuse(AnswerCode code, String why) {
-    node.log().session(number, database == null ? "" : database, code + ": " + why);
-    channel.refuse(Answer.error(code, why, state()));
+  private void refuse(AnswerCode code, String reason) {
+    node.log().session(number, database == null ? "" : database, code + ": " + reason);
+    channel.refuse(Answer.error(code, reason, state()));
     end();
   }
 
   private void query(StatementRequest request) {
     if (database == null) {
-      refuse(AnswerCode.MALFORMED, "the session has not begun");
+      refuse(AnswerCode.MALFORMED, "the session has not started");
     } else if (current == null) {
-      carryOut(request);
+      process(request);
     } else if (queued.size() < MAX_QUEUED_STATEMENTS) {
       queued.addLast(request);
     } else {
-      refuse(AnswerCode.TOO_LARGE, "more than " + MAX_QUEUED_STATEMENTS + " statements wait");
+      refuse(AnswerCode.TOO_LARGE, "more than " + MAX_QUEUED_STATEMENTS + " statements are queued");
     }
   }
 
-  /** Ends a connection whose caller has not begun a session; to be called after a while. */
-  public void endUnlessBegun() {
+  /** Ends a connection whose caller has not started a session within the time allowed. */
+  public void endUnlessStarted() {
     if (database == null) {
       end();
     }
   }
 
-  /** The caller's connection has ended. */
+  /** Called when the caller's connection has closed. */
   public void disconnected() {
     end();
   }
 
-  /** Ends the session as soon as no statement and no transaction is open. */
+  /** Ends the session as soon as no statement is running and no transaction is open. */
   public void drain() {
     draining = true;
     endIfDrained();
   }
 
-  /** Gives the transaction up, and ends the session as soon as no statement is open. */
+  /** Rolls back an open transaction and ends its session, unless a statement is running. */
   public void abandon() {
     if (transaction != null && current == null) {
-      abandonTransaction("the node stops");
+      failTransaction("the node is stopping");
       end();
     }
   }
@@ -207,7 +208,7 @@
       execution.cancel();
     }
     if (transaction != null) {
-      dropTransaction();
+      discardTransaction();
     }
     channel.close();
     node.ended(this);
@@ -215,7 +216,7 @@
 
   // ---- statements ----
 
-  private void carryOut(StatementRequest request) {
+  private void process(StatementRequest request) {
     current = request;
     currentSinceMillis = node.worker().now();
     timer.dispose();
@@ -223,7 +224,8 @@
     if (statement instanceof Statement.Malformed malformed) {
       answerError(AnswerCode.MALFORMED, malformed.why());
     } else if (isFailed() && !endsTransaction(statement)) {
-      answerError(AnswerCode.MALFORMED, "the transaction has failed; only its end is taken");
+      answerError(
+          AnswerCode.MALFORMED, "the transaction has failed; only COMMIT or ROLLBACK is accepted");
     } else if (statement instanceof Statement.Begin begin) {
       begin(begin);
     } else if (statement instanceof Statement.Rollback) {
@@ -235,15 +237,15 @@
           names.prepare(prepare.name(), prepare.shape()), AnswerCode.TOO_LARGE, TOO_MANY_NAMES);
     } else if (statement instanceof Statement.Deallocate deallocate) {
       boolean known = names.deallocate(deallocate.name());
-      answerLocally(known, AnswerCode.UNKNOWN_NAME, NOT_PREPARED + deallocate.name());
+      answerLocally(known, AnswerCode.UNKNOWN_NAME, NO_PREPARED_STATEMENT + deallocate.name());
     } else {
       runAtMember(request);
     }
   }
 
-  /** Answers what no member runs. */
-  private void answerLocally(boolean done, AnswerCode otherwise, String why) {
-    answer(done ? Answer.local(state()) : Answer.error(otherwise, why, state()));
+  /** Answers a statement that is not sent to a member. */
+  private void answerLocally(boolean done, AnswerCode errorCode, String reason) {
+    answer(done ? Answer.local(state()) : Answer.error(errorCode, reason, state()));
   }
 
   private static boolean endsTransaction(Statement statement) {
@@ -275,7 +277,7 @@
       answerError(AnswerCode.MALFORMED, "no transaction is open");
       return;
     }
-    dropTransaction();
+    discardTransaction();
     answer(Answer.local(SessionState.IDLE));
   }
 
@@ -285,12 +287,12 @@
     if (request.statement() instanceof Statement.Execute execute) {
       shape = names.prepared(execute.name());
       if (shape == null) {
-        answerError(AnswerCode.UNKNOWN_NAME, NOT_PREPARED + execute.name());
+        answerError(AnswerCode.UNKNOWN_NAME, NO_PREPARED_STATEMENT + execute.name());
         return;
       }
     }
     if (route.isEmpty() && (transaction == null || !transaction.isOpen())) {
-      answerError(AnswerCode.UNKNOWN_DATABASE, "the database " + database + " is gone");
+      answerError(AnswerCode.UNKNOWN_DATABASE, "the database " + database + " no longer exists");
       return;
     }
     RouteRule rule = route.orElseGet(() -> context.route());
@@ -299,7 +301,7 @@
       return;
     }
     Optional<TenantId> tenant = document().callerOf(rule, key);
-    if (tenant.isEmpty() || !mayGoOn(tenant.get())) {
+    if (tenant.isEmpty() || !mayContinue(tenant.get())) {
       refuseStatement(AnswerCode.NOT_ALLOWED, UNKNOWN_KEY);
       return;
     }
@@ -310,7 +312,7 @@
     if (transaction == null) {
       runAlone(context.isCommit());
     } else if (transaction.isFailed()) {
-      dropTransaction();
+      discardTransaction();
       answerError(AnswerCode.ABORTED, "the transaction had failed and was rolled back");
     } else if (!transaction.isOpen()) {
       openTransaction();
@@ -319,21 +321,21 @@
     }
   }
 
-  /** An open transaction stays with the tenant that it was begun for. */
-  private boolean mayGoOn(TenantId tenant) {
+  /** Returns whether no transaction is open or the open one was opened for this tenant. */
+  private boolean mayContinue(TenantId tenant) {
     return transaction == null || !transaction.isOpen() || transaction.tenant().equals(tenant);
   }
 
-  /** The statement is not run; a transaction is rolled back, since it can't go on. */
-  private void refuseStatement(AnswerCode code, String why) {
-    node.log().session(number, database, code + ": " + why);
+  /** Refuses the current statement without running it, and rolls back an open transaction. */
+  private void refuseStatement(AnswerCode code, String reason) {
+    node.log().session(number, database, code + ": " + reason);
     if (transaction != null && current.statement() instanceof Statement.Commit) {
-      dropTransaction();
+      discardTransaction();
     } else if (transaction != null) {
       transaction.fail();
-      transaction.giveBack();
+      transaction.releaseLink();
     }
-    answerError(code, why);
+    answerError(code, reason);
   }
 
   private void runAlone(boolean commit) {
@@ -360,7 +362,7 @@
     execution.start();
   }
 
-  /** Hears how an execution ends. */
+  /** Receives the result of an execution. */
   private final class Outcome implements ExecutionListener {
     private final StatementPlan plan;
 
@@ -375,7 +377,7 @@
         lastCommit = lastCommit.max(answer.position());
       }
       if (transaction != null) {
-        // The transaction could not be opened; nothing of it has run.
+        // The transaction could not be opened; none of its statements has run.
         transaction.fail();
       }
       answer(answer.withState(state()));
@@ -392,14 +394,14 @@
   // ---- transactions ----
 
   private void runInTransaction() {
-    transaction.run(context, new InTransaction(context.isCommit()));
+    transaction.run(context, new TransactionOutcome(context.isCommit()));
   }
 
-  /** Hears how a statement within the transaction ended. */
-  private final class InTransaction implements ClientTransaction.Listener {
+  /** Receives the result of a statement within the transaction. */
+  private final class TransactionOutcome implements ClientTransaction.Listener {
     private final boolean commit;
 
-    InTransaction(boolean commit) {
+    TransactionOutcome(boolean commit) {
       this.commit = commit;
     }
 
@@ -416,12 +418,12 @@
     }
 
     @Override
-    public void lost(String why) {
+    public void lost(String reason) {
       if (commit) {
-        commitUnanswered(why);
+        commitUnanswered(reason);
       } else {
         transaction.fail();
-        answerError(AnswerCode.ABORTED, why);
+        answerError(AnswerCode.ABORTED, reason);
       }
     }
   }
@@ -434,40 +436,42 @@
       lastCommit = lastCommit.max(answer.position());
       node.members().noteCommit(context.route().service(), sentMillis, answer.position());
     }
-    done.giveBack();
+    done.releaseLink();
     answer(answer.withState(SessionState.IDLE));
   }
 
-  /** A read-only transaction has kept nothing, whatever became of its commit. */
-  private void commitUnanswered(String why) {
+  /** A transaction without writes has changed nothing, whether or not its commit ran. */
+  private void commitUnanswered(String reason) {
     boolean wrote = transaction.hasWritten();
     transaction = null;
-    answerError(wrote ? AnswerCode.OUTCOME_UNKNOWN : AnswerCode.ABORTED, why);
+    answerError(wrote ? AnswerCode.OUTCOME_UNKNOWN : AnswerCode.ABORTED, reason);
   }
 
-  /** A transaction that rests too long is ended; the caller hears it with its next statement. */
-  private void rested() {
+  /**
+   * Rolls back a transaction after its idle time-out; the caller's next statement gets an error.
+   */
+  private void idleTimedOut() {
     if (transaction != null && current == null) {
-      abandonTransaction("it rested too long");
+      failTransaction("idle time-out");
     }
   }
 
-  private void abandonTransaction(String why) {
-    node.log().session(number, database, "transaction ended: " + why);
+  private void failTransaction(String reason) {
+    node.log().session(number, database, "transaction ended: " + reason);
     transaction.fail();
-    transaction.giveBack();
+    transaction.releaseLink();
   }
 
-  private void dropTransaction() {
+  private void discardTransaction() {
     ClientTransaction dropped = transaction;
     transaction = null;
-    dropped.giveBack();
+    dropped.releaseLink();
   }
 
   // ---- answers ----
 
-  private void answerError(AnswerCode code, String why) {
-    answer(Answer.error(code, why, state()));
+  private void answerError(AnswerCode code, String reason) {
+    answer(Answer.error(code, reason, state()));
   }
 
   private void answer(Answer answer) {
@@ -481,12 +485,12 @@
     current = null;
     channel.answer(answer);
     if (transaction != null && !transaction.isFailed()) {
-      long restMillis = document().limits().transactionIdleMillis();
-      timer = node.worker().schedule(restMillis, this::rested);
+      long idleMillis = document().limits().transactionIdleMillis();
+      timer = node.worker().schedule(idleMillis, this::idleTimedOut);
     }
     StatementRequest next = queued.pollFirst();
     if (next != null) {
-      carryOut(next);
+      process(next);
     } else {
       endIfDrained();
     }
--- a/server/src/main/java/org/streamcourse/connection/session/ClientTransaction.java
+++ b/server/src/main/java/org/streamcourse/connection/session/ClientTransaction.java
@@ -10,16 +10,17 @@
 import reactor.core.Disposable;
 
 /**
- * The transaction of a session. It has no member until its first statement, and loses it when it
- * fails.
+ * The transaction of a session. It holds no member link before its first statement runs, and none
+ * after it has failed.
  *
- * <p>Invariant: all its statements run on one link, one after the other; each is heard of once.
+ * <p>Invariant: all statements of the transaction run on one member link, one after the other, and
+ * the listener of each is called at most once.
  */
 final class ClientTransaction {
-  /** Hears how a statement within the transaction ended. */
+  /** Receives the result of a statement within the transaction. */
   interface Listener {
     /**
-     * The member answered.
+     * Called when the member has answered.
      *
      * @param answer the answer
      * @param sentMillis worker time at which the statement was sent
@@ -27,11 +28,11 @@
     void answered(Answer answer, long sentMillis);
 
     /**
-     * The link is gone, and with it the answer.
+     * Called when the member link was lost or closed before the answer arrived.
      *
-     * @param why text for a person
+     * @param reason description for the caller
      */
-    void lost(String why);
+    void lost(String reason);
   }
 
   private final Worker worker;
@@ -58,12 +59,12 @@
     link = opened;
   }
 
-  /** Whether it has a member. */
+  /** Returns whether the transaction holds a member link. */
   boolean isOpen() {
     return link != null;
   }
 
-  /** Whose work it is; {@link TenantId#NONE} before it is open. */
+  /** Returns the tenant of the transaction, or {@link TenantId#NONE} before it is open. */
   TenantId tenant() {
     return tenant;
   }
@@ -80,7 +81,7 @@
     failed = true;
   }
 
-  /** Sends a statement; the route's time-out bounds it. */
+  /** Sends a statement, which is abandoned after the route's time-out. */
   void run(StatementContext context, Listener listener) {
     wrote |= context.writes();
     link.adopt(context.values());
@@ -90,13 +91,13 @@
   }
 
   /**
-   * Gives the link back, rolled back where something is open on it; closes it where an answer is
-   * outstanding.
+   * Returns the member link to its pool after rolling back an open transaction, or closes the link
+   * when an answer is outstanding.
    */
-  void giveBack() {
+  void releaseLink() {
     if (running != null) {
       running.end();
-      dropLink();
+      closeLink();
     } else if (link != null) {
       links.releaseRolledBack(takeLink());
     }
@@ -108,13 +109,13 @@
     return taken;
   }
 
-  private void dropLink() {
+  private void closeLink() {
     MemberLink dropped = takeLink();
     dropped.close();
     links.release(dropped);
   }
 
-  /** The statement that runs. */
+  /** The statement that is running. */
   private final class Running implements CommandListener {
     private final Listener listener;
     private final long sentMillis;
@@ -126,7 +127,7 @@
       this.sentMillis = sentMillis;
     }
 
-    /** Hears nothing more. */
+    /** Ends the statement; later calls from the member link are ignored. */
     private void end() {
       ended = true;
       timeout.dispose();
@@ -146,14 +147,14 @@
       if (!ended) {
         end();
         links.release(takeLink());
-        listener.lost("the member was lost: " + cause);
+        listener.lost("the connection to the member was lost: " + cause);
       }
     }
 
     private void timedOut() {
       if (!ended) {
         end();
-        dropLink();
+        closeLink();
         listener.lost("the member did not answer in time");
       }
     }
--- a/server/src/main/java/org/streamcourse/connection/session/LimitedExecution.java
+++ b/server/src/main/java/org/streamcourse/connection/session/LimitedExecution.java
@@ -16,11 +16,11 @@
 import reactor.core.Disposable;
 
 /**
- * Brings an operation of a session to a member once its tenant's limit allows it. What turns out
- * not to have run does not count against the limit.
+ * Executes an operation of a session at a member once its tenant's limit admits it. An operation
+ * that was not run does not count against the limit.
  */
 final class LimitedExecution implements QuotaRequest, ExecutionListener {
-  /** Part of a route's target latency that an operation may wait for its tenant's limit. */
+  /** Share of a route's target latency that an operation may wait for its tenant's limit. */
   private static final double WAIT_SHARE = 0.5;
 
   private final SessionNode node;
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Gives up without an answer, since the caller has left. */
+  /** Cancels the operation without an answer, since the caller has disconnected. */
   void cancel() {
     cancelled = true;
     waiting.dispose();
@@ -69,12 +69,12 @@
   }
 
   @Override
-  public void admitted(QuotaPermit given) {
+  public void admitted(QuotaPermit granted) {
     if (cancelled) {
-      given.giveBack();
+      granted.giveBack();
       return;
     }
-    permit = given;
+    permit = granted;
     execution =
         new StatementExecution(node.worker(), node.members(), node.log(), context, plan, this);
     execution.start();
--- a/server/src/main/java/org/streamcourse/connection/session/AdoptingLoop.java
+++ b/server/src/main/java/org/streamcourse/connection/session/PreboundLoopResources.java
@@ -7,12 +7,12 @@
 import java.net.SocketAddress;
 import reactor.netty.resources.LoopResources;
 
-/** Event loops on which the next server takes over a port that is open already. */
-final class AdoptingLoop implements LoopResources {
+/** Event loops that bind the next server to a listening socket that is open already. */
+final class PreboundLoopResources implements LoopResources {
   private final LoopResources loops;
-  private final EarlyPort port;
+  private final PreboundPort port;
 
-  AdoptingLoop(LoopResources loops, EarlyPort port) {
+  PreboundLoopResources(LoopResources loops, PreboundPort port) {
     this.loops = loops;
     this.port = port;
   }
@@ -29,7 +29,7 @@
         : loops.onChannel(type, group);
   }
 
-  /** A server's channel that is bound before its server is started. */
+  /** A server channel whose socket is bound before the server starts. */
   private static final class BoundChannel extends NioServerSocketChannel {
     BoundChannel(java.nio.channels.ServerSocketChannel channel) {
       super(channel);
@@ -37,7 +37,7 @@
 
     @Override
     protected void doBind(SocketAddress address) {
-      // Bound when it was opened; the caller of EarlyPort has compared the address.
+      // PreboundPort has bound the socket already; SessionPort has compared the address.
     }
   }
 }
--- a/server/src/main/java/org/streamcourse/connection/session/SessionNames.java
+++ b/server/src/main/java/org/streamcourse/connection/session/SessionNames.java
@@ -7,18 +7,18 @@
 
 /** The values and prepared statements of one session, by name. */
 final class SessionNames {
-  /** Values, and prepared statements, that a session may have. */
-  static final int MOST = 1_024;
+  /** Maximum number of values, and of prepared statements, of a session. */
+  static final int MAX_NAMES = 1_024;
 
   private final Map<String, String> values = new LinkedHashMap<>();
   private final Map<String, PreparedShape> prepared = new HashMap<>();
 
-  /** Values as they are now; later changes show. */
+  /** Returns a live view of the values. */
   Map<String, String> values() {
     return values;
   }
 
-  /** What a name stands for, or null. */
+  /** Returns the prepared statement of this name, or null. */
   PreparedShape prepared(String name) {
     return prepared.get(name);
   }
@@ -34,14 +34,14 @@
   }
 
   private static <V> boolean put(Map<String, V> table, String name, V value) {
-    boolean room = table.size() < MOST || table.containsKey(name);
+    boolean room = table.size() < MAX_NAMES || table.containsKey(name);
     if (room) {
       table.put(name, value);
     }
     return room;
   }
 
-  /** Forgets a prepared statement; returns whether there was one. */
+  /** Removes a prepared statement; returns whether it existed. */
   boolean deallocate(String name) {
     return prepared.remove(name) != null;
   }
--- a/server/src/main/java/org/streamcourse/connection/session/SessionNode.java
+++ b/server/src/main/java/org/streamcourse/connection/session/SessionNode.java
@@ -6,7 +6,7 @@
 import org.streamcourse.request.routing.RequestLog;
 import org.streamcourse.version.image.ClusterImage;
 
-/** What all sessions of a node share. */
+/** Services of a node that all its sessions share. */
 public interface SessionNode {
   /**
    * Returns the worker.
@@ -23,16 +23,16 @@
   MemberTable members();
 
   /**
-   * Returns the log.
+   * Returns the request log.
    *
-   * @return log of decisions
+   * @return log of routing decisions
    */
   RequestLog log();
 
   /**
    * Returns the limits of tenants.
    *
-   * @return decides whether operations may run
+   * @return limits that admit or refuse operations
    */
   OperationLimits quotas();
 
@@ -44,21 +44,21 @@
   ClusterImage image();
 
   /**
-   * Tells whether sessions may begin.
+   * Returns whether sessions may begin.
    *
    * @return false while no configuration is in force
    */
   boolean isServing();
 
   /**
-   * Tells whether the document in force is known well enough to check callers' keys.
+   * Returns whether the document in force is recent enough to check callers' keys.
    *
-   * @return false when a key that was taken away might still count here for too long
+   * @return false when a revoked key might be accepted by this node for longer than allowed
    */
-  boolean knowsKeys();
+  boolean hasConfirmedKeys();
 
   /**
-   * A session has ended.
+   * Called when a session has ended.
    *
    * @param session the session
    */
--- a/server/src/main/java/org/streamcourse/connection/session/SessionPort.java
+++ b/server/src/main/java/org/streamcourse/connection/session/SessionPort.java
@@ -15,22 +15,22 @@
 import reactor.netty.resources.LoopResources;
 import reactor.netty.tcp.TcpServer;
 
-/** A TCP port at which callers open sessions. Its event loop must be the proxy's worker. */
+/** TCP server on which callers open sessions. Its event loop must be the proxy's worker. */
 public final class SessionPort {
   private static final Logger LOG = LoggerFactory.getLogger(SessionPort.class);
 
-  /** Answers that a caller has not read, beyond which its connection is closed. */
-  private static final long MAX_UNREAD_BYTES = 8L * 1024 * 1024;
+  /** Unsent answers to a caller beyond which its connection is closed. */
+  private static final long MAX_UNSENT_BYTES = 8L * 1024 * 1024;
 
   private final SessionProtocol protocol;
   private final Function<ClientChannel, ClientSession> sessions;
   private DisposableServer server;
 
   /**
-   * Creates a port that is not open yet.
+   * Creates a port that is not open.
    *
    * @param protocol protocol of the callers
-   * @param sessions makes the session of a connection
+   * @param sessions creates the session of a connection
    */
   public SessionPort(SessionProtocol protocol, Function<ClientChannel, ClientSession> sessions) {
     this.protocol = protocol;
@@ -40,34 +40,35 @@
   /**
    * Opens the port.
    *
-   * @param host IP number
+   * @param host IP address
    * @param port TCP port
    * @param loops event loop of one thread, on which the proxy's worker runs too
-   * @param early the port where it is open already; it is taken over with the connections that wait
-   *     at it, or closed when it is at another address
+   * @param prebound listening socket that is bound already, if any; it is taken over with the
+   *     connections in its queue, or closed when it is bound to another address
    */
-  public void start(String host, int port, LoopResources loops, Optional<EarlyPort> early) {
+  public void start(String host, int port, LoopResources loops, Optional<PreboundPort> prebound) {
     server =
         TcpServer.create()
             .host(host)
             .port(port)
-            .runOn(early.map(open -> adopt(open, host, port, loops)).orElse(loops), false)
-            .option(ChannelOption.SO_BACKLOG, EarlyPort.BACKLOG)
+            .runOn(prebound.map(open -> takeOver(open, host, port, loops)).orElse(loops), false)
+            .option(ChannelOption.SO_BACKLOG, PreboundPort.BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .doOnConnection(this::accept)
             .bindNow();
   }
 
-  private static LoopResources adopt(EarlyPort early, String host, int port, LoopResources loops) {
-    if (early.isAt(host, port)) {
-      return new AdoptingLoop(loops, early);
+  private static LoopResources takeOver(
+      PreboundPort prebound, String host, int port, LoopResources loops) {
+    if (prebound.isBoundTo(host, port)) {
+      return new PreboundLoopResources(loops, prebound);
     }
-    LOG.warn("the port that was opened first is not {}:{} of the settings; closes it", host, port);
-    early.close();
+    LOG.warn("the prebound port is not the configured {}:{}; closes it", host, port);
+    prebound.close();
     return loops;
   }
 
-  /** Closes the port; open sessions go on. */
+  /** Closes the port; open sessions continue. */
   public void stop() {
     if (server != null) {
       server.dispose();
@@ -82,7 +83,7 @@
     channel.config().setAutoRead(true);
   }
 
-  /** Brings messages to the session. */
+  /** Passes a caller's messages to its session. */
   private static final class Receiver extends SimpleChannelInboundHandler<ClientMessage> {
     private final ClientSession session;
 
@@ -103,7 +104,10 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      LOG.debug("a caller's connection broke: {}", cause.toString());
+      LOG.debug(
+          "connection of caller {} failed: {}; closes it",
+          context.channel().remoteAddress(),
+          cause.toString());
       context.close();
     }
   }
@@ -118,9 +122,12 @@
     @Override
     public void answer(Answer answer) {
       channel.writeAndFlush(new ClientReply.Answered(answer), channel.voidPromise());
-      long unread = channel.unsafe().outboundBuffer() == null ? 0 : pendingBytes();
-      if (unread > MAX_UNREAD_BYTES) {
-        LOG.warn("a caller does not read its answers; closes its connection");
+      long unsent = channel.unsafe().outboundBuffer() == null ? 0 : pendingBytes();
+      if (unsent > MAX_UNSENT_BYTES) {
+        LOG.warn(
+            "{} bytes of answers unsent to caller {}; closes its connection",
+            unsent,
+            channel.remoteAddress());
         channel.close();
       }
     }
@@ -138,7 +145,7 @@
 
     @Override
     public void close() {
-      // After what was written before.
+      // The empty buffer is queued behind earlier answers, so that they are sent before the close.
       channel
           .writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER)
           .addListener(ChannelFutureListener.CLOSE);
--- a/server/src/main/java/org/streamcourse/connection/session/SessionProtocol.java
+++ b/server/src/main/java/org/streamcourse/connection/session/SessionProtocol.java
@@ -3,10 +3,10 @@
 import io.netty.channel.ChannelHandler;
 import java.util.List;
 
-/** The protocol in which callers speak. */
+/** The wire protocol between callers and sessions. */
 public interface SessionProtocol {
   /**
-   * Makes the handlers that turn bytes into {@link ClientMessage}s and {@link ClientReply}s into
+   * Creates the handlers that turn bytes into {@link ClientMessage}s and {@link ClientReply}s into
    * bytes.
    *
    * @return handlers of one connection, in the order of its pipeline
--- a/server/src/main/java/org/streamcourse/connection/session/package-info.java
+++ b/server/src/main/java/org/streamcourse/connection/session/package-info.java
@@ -1,2 +1,2 @@
-/** Sessions of callers whose statements do not come in the PostgreSQL protocol. */
+/** Sessions of callers that use a protocol other than PostgreSQL's. */
 package org.streamcourse.connection.session;
--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -208,7 +208,7 @@
     sessionNumbers++;
     ClientSession session = new ClientSession(this, channel, sessionNumbers);
     sessions.add(session);
-    worker.schedule(BEGIN_MILLIS, session::endUnlessBegun);
+    worker.schedule(BEGIN_MILLIS, session::endUnlessStarted);
     if (draining) {
       // It would still be open when the process ends; its caller asks another node.
       session.drain();
@@ -306,7 +306,7 @@
   }
 
   @Override
-  public boolean knowsKeys() {
+  public boolean hasConfirmedKeys() {
     return keyTrustMillis == NO_END || agent.wasConfirmedWithin(keyTrustMillis);
   }
 
--- a/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
@@ -10,7 +10,7 @@
 import org.streamcourse.connection.member.MemberProtocol;
 import org.streamcourse.connection.member.TcpMemberDialer;
 import org.streamcourse.connection.peer.TcpPeerNetwork;
-import org.streamcourse.connection.session.EarlyPort;
+import org.streamcourse.connection.session.PreboundPort;
 import org.streamcourse.connection.session.SessionPort;
 import org.streamcourse.connection.session.SessionProtocol;
 import org.streamcourse.process.settings.StatementProxySettings;
@@ -117,7 +117,7 @@
    *
    * @param callersPort the callers' port where it is open already
    */
-  public void start(Optional<EarlyPort> callersPort) {
+  public void start(Optional<PreboundPort> callersPort) {
     network.start(settings.links().host(), settings.links().port(), node);
     node.start();
     port.start(settings.sessions().host(), settings.sessions().port(), loop, callersPort);
