--- a/server/src/main/java/org/streamcourse/connection/package-info.java
+++ b/server/src/main/java/org/streamcourse/connection/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What lives as long as a connection: callers' sessions, links to peers, connections to members.
+ * Everything bound to the lifetime of a connection: callers' sessions, peer links and connections
+ * to members.
  */
 package org.streamcourse.connection;
