--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -209,7 +209,7 @@
     sessionNumbers++;
     ClientSession session = new ClientSession(this, channel, sessionNumbers);
     sessions.add(session);
-    worker.schedule(SESSION_START_TIMEOUT_MILLIS, session::endUnlessBegun);
+    worker.schedule(SESSION_START_TIMEOUT_MILLIS, session::endUnlessStarted);
     if (draining) {
       // The session would still be open when the process exits; its caller retries at another node.
       session.drain();
@@ -307,7 +307,7 @@
   }
 
   @Override
-  public boolean knowsKeys() {
+  public boolean hasConfirmedKeys() {
     return keyTrustMillis == UNLIMITED || agent.wasConfirmedWithin(keyTrustMillis);
   }
 
