--- a/lab/src/main/java/org/streamcourse/lab/simulation/Faults.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/Faults.java
@@ -6,27 +6,27 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** The failures that scenarios are made of. */
+/** The faults of which scenarios are composed. */
 final class Faults {
-  private static final int FIRST_MILLIS = 500;
-  private static final int SPREAD_MILLIS = 2_500;
-  private static final int LIST_LAG_MILLIS = 1_000;
-  private static final int LONGEST_OUTAGE_MILLIS = 9_000;
+  private static final int MIN_DELAY_MILLIS = 500;
+  private static final int DELAY_SPREAD_MILLIS = 2_500;
+  private static final int MAX_POLL_DELAY_MILLIS = 1_000;
+  private static final int MAX_OUTAGE_MILLIS = 9_000;
 
-  /** Within this time a planned change is about over. */
-  private static final int SWITCHOVER_MILLIS = 250;
+  /** Longest delay of a fault after the start of a switchover, which takes about as long. */
+  private static final int MAX_INTERRUPT_DELAY_MILLIS = 250;
 
-  private static final int PAST_ALLOWANCE_MILLIS = 13_000;
+  private static final int ALLOWANCE_OUTAGE_MILLIS = 13_000;
   private static final long RESTART_EVERY_MILLIS = 4_500;
 
   private Faults() {}
 
-  private static long soon(World world) {
-    return FIRST_MILLIS + world.random().nextInt(SPREAD_MILLIS);
+  private static long randomDelay(World world) {
+    return MIN_DELAY_MILLIS + world.random().nextInt(DELAY_SPREAD_MILLIS);
   }
 
-  private static long outage(World world) {
-    return 200 + world.random().nextInt(LONGEST_OUTAGE_MILLIS);
+  private static long randomOutage(World world) {
+    return 200 + world.random().nextInt(MAX_OUTAGE_MILLIS);
   }
 
   private static void count(World world, String kind, String victim) {
@@ -37,14 +37,15 @@
   // ---- members ----
 
   static void killPrimary(World world) {
-    world.after(soon(world), () -> world.primary().ifPresent(primary -> kill(world, primary)));
+    world.after(
+        randomDelay(world), () -> world.primary().ifPresent(primary -> kill(world, primary)));
   }
 
   private static void kill(World world, SimMember member) {
     count(world, "member-killed", member.id());
     member.host().kill();
     world.after(
-        outage(world),
+        randomOutage(world),
         () -> {
           if (!member.host().isUp()) {
             member.boot();
@@ -52,9 +53,9 @@
         });
   }
 
-  static void killPrimaryTwice(World world) {
+  static void killPrimaryAndSuccessor(World world) {
     world.after(
-        soon(world),
+        randomDelay(world),
         () ->
             world
                 .primary()
@@ -65,7 +66,7 @@
                     }));
   }
 
-  /** Kills whoever is primary next, as soon as there is one, so that it may be in mid-change. */
+  /** Kills the next primary as soon as there is one, possibly in the middle of its promotion. */
   private static void killNext(World world, SimMember first, int attempts) {
     world.after(
         10 + world.random().nextInt(60),
@@ -81,20 +82,21 @@
 
   static void freezePrimary(World world) {
     world.after(
-        soon(world), () -> world.primary().ifPresent(primary -> freeze(world, primary.host())));
+        randomDelay(world),
+        () -> world.primary().ifPresent(primary -> freeze(world, primary.host())));
   }
 
   private static void freeze(World world, SimHost host) {
     count(world, "process-frozen", host.name());
     host.freeze();
-    world.after(outage(world), host::thaw);
+    world.after(randomOutage(world), host::thaw);
   }
 
   static void lagReplicas(World world) {
     boolean both = world.random().nextBoolean();
     long lag = 300 + world.random().nextInt(6_000);
     world.after(
-        soon(world),
+        randomDelay(world),
         () -> {
           for (SimMember member : world.members().values()) {
             if (!member.isPrimary() && (both || world.random().nextBoolean())) {
@@ -117,7 +119,7 @@
 
   static void cutPrimaryRegion(World world) {
     world.after(
-        soon(world),
+        randomDelay(world),
         () ->
             world
                 .primary()
@@ -125,7 +127,7 @@
   }
 
   static void cutRegion(World world) {
-    world.after(soon(world), () -> cutOff(world, "r" + world.random().nextInt(3)));
+    world.after(randomDelay(world), () -> cutOff(world, "r" + world.random().nextInt(3)));
   }
 
   private static void cutOff(World world, String region) {
@@ -141,11 +143,12 @@
         }
       }
     }
-    world.after(outage(world), world.network()::healAll);
+    world.after(randomOutage(world), world.network()::healAll);
   }
 
   static void cutLeader(World world) {
-    world.after(soon(world), () -> world.leader().ifPresent(leader -> cutOff(world, leader)));
+    world.after(
+        randomDelay(world), () -> world.leader().ifPresent(leader -> cutOff(world, leader)));
   }
 
   private static void cutOff(World world, SimController leader) {
@@ -165,11 +168,11 @@
     if (world.random().nextBoolean()) {
       killPrimary(world);
     }
-    world.after(outage(world), world.network()::healAll);
+    world.after(randomOutage(world), world.network()::healAll);
   }
 
-  /** Cuts the proxies of a region from all controllers, and from nothing else. */
-  private static void silence(World world, String region, long millis) {
+  /** Cuts the proxies of a region off from all controllers, but not from other hosts. */
+  private static void cutFromControllers(World world, String region, long millis) {
     count(world, "proxies-unheard", region);
     for (SimProxy proxy : world.proxies().values()) {
       if (proxy.host().placement().region().equals(region)) {
@@ -182,31 +185,32 @@
     world.after(millis, world.network()::healAll);
   }
 
-  static void silencePastAllowance(World world) {
+  static void cutProxiesPastAllowance(World world) {
     String region = "r" + world.random().nextInt(3);
-    world.after(FIRST_MILLIS, () -> silence(world, region, PAST_ALLOWANCE_MILLIS));
+    world.after(MIN_DELAY_MILLIS, () -> cutFromControllers(world, region, ALLOWANCE_OUTAGE_MILLIS));
   }
 
-  static void silencePrimaryGateways(World world) {
+  static void cutPrimaryGatewaysFromControllers(World world) {
     world.after(
-        soon(world),
+        randomDelay(world),
         () ->
             world
                 .primary()
                 .ifPresent(
                     primary ->
-                        silence(
-                            world, primary.host().placement().region(), LONGEST_OUTAGE_MILLIS)));
+                        cutFromControllers(
+                            world, primary.host().placement().region(), MAX_OUTAGE_MILLIS)));
   }
 
-  static void drainUnheard(World world) {
+  static void drainWhileGatewaysAreCutOff(World world) {
     world.after(
-        FIRST_MILLIS,
+        MIN_DELAY_MILLIS,
         () -> {
           Optional<SimMember> replica = firstReplica(world);
           replica.ifPresent(
-              each -> silence(world, each.host().placement().region(), LONGEST_OUTAGE_MILLIS));
-          world.after(soon(world), () -> replica.ifPresent(each -> drain(world, each)));
+              each ->
+                  cutFromControllers(world, each.host().placement().region(), MAX_OUTAGE_MILLIS));
+          world.after(randomDelay(world), () -> replica.ifPresent(each -> drain(world, each)));
         });
   }
 
@@ -214,17 +218,17 @@
 
   static void freezeLeader(World world) {
     world.after(
-        soon(world), () -> world.leader().ifPresent(leader -> freeze(world, leader.host())));
+        randomDelay(world), () -> world.leader().ifPresent(leader -> freeze(world, leader.host())));
   }
 
   static void raceOperators(World world) {
     for (int round = 0; round < 6; round++) {
       int number = round;
-      world.after(FIRST_MILLIS + round * 1_500L, () -> race(world, number));
+      world.after(MIN_DELAY_MILLIS + round * 1_500L, () -> sendConflicting(world, number));
     }
   }
 
-  private static void race(World world, int round) {
+  private static void sendConflicting(World world, int round) {
     long version = world.leaderImage().configurationVersion();
     for (int operator = 0; operator < World.CONTROLLERS.size(); operator++) {
       String sql =
@@ -232,18 +236,18 @@
               "ALTER GROUP %s SET max_staleness_ms = %d AT VERSION %d COMMAND 'race-%d-%d'",
               World.GROUP, 2_000 + round * 10 + operator, version, round, operator);
       count(world, "command-raced", sql);
-      operateOnce(world, World.CONTROLLERS.get(operator), sql);
+      sendOnce(world, World.CONTROLLERS.get(operator), sql);
     }
   }
 
-  /** Sends a command once and notes whether it was accepted. */
-  private static void operateOnce(World world, String controller, String sql) {
-    world.operate(
+  /** Sends a command once and records its acceptance, if any. */
+  private static void sendOnce(World world, String controller, String sql) {
+    world.sendStatement(
         controller,
         sql,
         result -> {
           if (result.sqlState().isEmpty()) {
-            world.noteAccepted(sql, result);
+            world.recordAccepted(sql, result);
           }
         });
   }
@@ -255,10 +259,10 @@
               "ALTER GROUP %s SET catch_up_wait_ms = %d COMMAND 'resent-%d'",
               World.GROUP, 20 + i, i);
       world.after(
-          FIRST_MILLIS + i * 1_000L,
+          MIN_DELAY_MILLIS + i * 1_000L,
           () -> {
             count(world, "command-resent", sql);
-            World.CONTROLLERS.forEach(controller -> operateOnce(world, controller, sql));
+            World.CONTROLLERS.forEach(controller -> sendOnce(world, controller, sql));
           });
     }
   }
@@ -270,7 +274,7 @@
     SimController second = world.controllers().get(order.get(world.random().nextInt(order.size())));
     resendCommands(world);
     world.after(
-        soon(world),
+        randomDelay(world),
         () -> {
           count(world, "disk-lost", lost.host().name());
           lost.host().kill();
@@ -280,7 +284,7 @@
         });
   }
 
-  /** Loses the second machine right after the first one is a voter again. */
+  /** Kills the second controller, with its disk, right after the first is a voter again. */
   private static void killWhenRepaired(
       World world, SimController repaired, SimController second, int attempts) {
     world.after(
@@ -303,7 +307,7 @@
             count(world, "second-machine-lost", second.host().name());
             second.host().kill();
             second.loseDisk();
-            world.after(outage(world), () -> second.recover());
+            world.after(randomOutage(world), () -> second.recover());
           } else if (attempts > 0) {
             killWhenRepaired(world, repaired, second, attempts - 1);
           }
@@ -313,7 +317,7 @@
   static void crashControllers(World world) {
     resendCommands(world);
     for (int i = 0; i < 5; i++) {
-      world.after(FIRST_MILLIS + i * 2_000L, () -> crashOne(world));
+      world.after(MIN_DELAY_MILLIS + i * 2_000L, () -> crashOne(world));
     }
   }
 
@@ -323,13 +327,13 @@
     SimController victim = all.get(random.nextInt(all.size()));
     count(world, "controller-crashed-writing", victim.host().name());
     victim.disk().crashAfter(random.nextInt(4), length -> random.nextInt(length));
-    world.after(1_200, () -> reboot(world, victim));
+    world.after(1_200, () -> restartAfterCrash(world, victim));
   }
 
-  private static void reboot(World world, SimController victim) {
+  private static void restartAfterCrash(World world, SimController victim) {
     victim.disk().crashAfter(Integer.MIN_VALUE, length -> 0);
     if (!victim.host().isUp()) {
-      world.history().event("controller " + victim.host().name() + " starts again");
+      world.history().event("controller " + victim.host().name() + " restarts");
       victim.boot(false);
     }
   }
@@ -338,7 +342,7 @@
 
   static void killProxies(World world) {
     for (int i = 0; i < 3; i++) {
-      world.after(soon(world) + i * 2_000L, () -> killProxy(world));
+      world.after(randomDelay(world) + i * 2_000L, () -> killProxy(world));
     }
   }
 
@@ -347,7 +351,7 @@
     count(world, "proxy-killed", proxy.host().name());
     proxy.host().kill();
     world.after(
-        outage(world),
+        randomOutage(world),
         () -> {
           if (!proxy.host().isUp()) {
             proxy.boot();
@@ -356,14 +360,15 @@
   }
 
   static void freezeProxy(World world) {
-    world.after(soon(world), () -> freeze(world, world.randomProxy(world.random()).host()));
+    world.after(randomDelay(world), () -> freeze(world, world.randomProxy(world.random()).host()));
   }
 
   static void restartProxies(World world) {
     int i = 0;
     for (SimProxy proxy : world.proxies().values()) {
       if (i < 3) {
-        world.after(FIRST_MILLIS + i * RESTART_EVERY_MILLIS, () -> stopAndRestart(world, proxy));
+        world.after(
+            MIN_DELAY_MILLIS + i * RESTART_EVERY_MILLIS, () -> stopAndRestart(world, proxy));
       }
       i++;
     }
@@ -377,7 +382,8 @@
   // ---- operators ----
 
   static void drainMember(World world) {
-    world.after(soon(world), () -> firstReplica(world).ifPresent(each -> drain(world, each)));
+    world.after(
+        randomDelay(world), () -> firstReplica(world).ifPresent(each -> drain(world, each)));
   }
 
   private static Optional<SimMember> firstReplica(World world) {
@@ -389,34 +395,35 @@
     String name = nameOf(member);
     String drain =
         String.format("DRAIN MEMBER %s IN GROUP %s COMMAND 'drain-%s'", name, World.GROUP, name);
-    world.operateUntilAccepted(drain, () -> world.history().drained(member.id(), true));
+    world.sendUntilAccepted(drain, () -> world.history().drained(member.id(), true));
     world.after(8_000, () -> restore(world, member));
   }
 
-  /** The list names any member, the primary too; controllers read it after up to a second. */
-  static void leaveByPlatform(World world) {
+  /** Lists a random member as leaving; each controller reads the list within its polling delay. */
+  static void drainByPlatform(World world) {
     List<SimMember> members = new ArrayList<>(world.members().values());
     SimMember member = members.get(world.random().nextInt(members.size()));
     String name = nameOf(member);
     world.after(
-        soon(world),
+        randomDelay(world),
         () -> {
           count(world, "platform-leaving", member.id());
-          tellControllers(world, Set.of(World.addressOf(name)));
-          world.after(LIST_LAG_MILLIS, () -> world.history().drained(member.id(), true));
+          notifyControllers(world, Set.of(World.addressOf(name)));
+          world.after(MAX_POLL_DELAY_MILLIS, () -> world.history().drained(member.id(), true));
         });
     world.after(
         12_000,
         () -> {
-          tellControllers(world, Set.of());
-          world.after(LIST_LAG_MILLIS, () -> restore(world, member));
+          notifyControllers(world, Set.of());
+          world.after(MAX_POLL_DELAY_MILLIS, () -> restore(world, member));
         });
   }
 
-  private static void tellControllers(World world, Set<String> leaving) {
+  private static void notifyControllers(World world, Set<String> leaving) {
     for (SimController controller : world.controllers().values()) {
       world.after(
-          world.random().nextInt(LIST_LAG_MILLIS), () -> controller.node().platformHeard(leaving));
+          world.random().nextInt(MAX_POLL_DELAY_MILLIS),
+          () -> controller.node().platformHeard(leaving));
     }
   }
 
@@ -427,7 +434,7 @@
   private static void restore(World world, SimMember member) {
     world.history().drained(member.id(), false);
     String name = nameOf(member);
-    world.operateUntilAccepted(
+    world.sendUntilAccepted(
         String.format(
             "RESTORE MEMBER %s IN GROUP %s COMMAND 'restore-%s'", name, World.GROUP, name),
         () -> {});
@@ -435,7 +442,7 @@
 
   static void switchPrimary(World world) {
     for (int i = 0; i < 3; i++) {
-      world.after(FIRST_MILLIS + i * 4_000L, () -> switchOnce(world));
+      world.after(MIN_DELAY_MILLIS + i * 4_000L, () -> switchOnce(world));
     }
   }
 
@@ -445,19 +452,20 @@
     SimMember target = replicas.get(world.random().nextInt(replicas.size()));
     String name = nameOf(target);
     count(world, "primary-switched", name);
-    world.operate("c2", "SWITCH PRIMARY OF GROUP " + World.GROUP + " TO " + name, result -> {});
+    world.sendStatement(
+        "c2", "SWITCH PRIMARY OF GROUP " + World.GROUP + " TO " + name, result -> {});
     return target;
   }
 
   static void interruptSwitchover(World world) {
-    world.after(FIRST_MILLIS, () -> interrupt(world, switchOnce(world)));
-    world.after(FIRST_MILLIS + 6_000L, () -> interrupt(world, switchOnce(world)));
+    world.after(MIN_DELAY_MILLIS, () -> interrupt(world, switchOnce(world)));
+    world.after(MIN_DELAY_MILLIS + 6_000L, () -> interrupt(world, switchOnce(world)));
   }
 
   private static void interrupt(World world, SimMember target) {
     int victim = world.random().nextInt(3);
     world.after(
-        world.random().nextInt(SWITCHOVER_MILLIS),
+        world.random().nextInt(MAX_INTERRUPT_DELAY_MILLIS),
         () -> {
           switch (victim) {
             case 0 -> kill(world, target);
@@ -470,6 +478,6 @@
   private static void killController(World world, SimController controller) {
     count(world, "controller-killed", controller.host().name());
     controller.host().kill();
-    world.after(outage(world), controller::recover);
+    world.after(randomOutage(world), controller::recover);
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/History.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/History.java
@@ -12,11 +12,11 @@
 import java.util.regex.Pattern;
 
 /**
- * What happened in one run, and the checks of it. Checks that can be made at once are made when the
- * event is noted; {@link #checkEnd} makes the rest.
+ * Recorded history of one run, and its checker. An invariant is checked as soon as the event that
+ * can violate it is recorded; {@link #checkEnd} checks the invariants of the final state.
  */
 final class History {
-  /** What a caller was told about a booking. */
+  /** Outcome of a booking as reported to its caller. */
   enum Outcome {
     ACKNOWLEDGED,
     NOT_RUN,
@@ -26,7 +26,7 @@
 
   private record Acknowledged(String id, long atMillis) {}
 
-  private static final int SHOWN_EVENTS = 60;
+  private static final int EXCERPT_EVENTS = 60;
   private static final Pattern EXPECTED_VERSION = Pattern.compile(" AT VERSION (\\d+)");
 
   private LongSupplier clock;
@@ -47,7 +47,7 @@
     this.clock = clock;
   }
 
-  /** Lets go of the run's clock, and with it of the whole world, which the history outlives. */
+  /** Freezes the time and drops the clock, which would keep the run's whole world reachable. */
   void stopClock() {
     long end = clock.getAsLong();
     clock = () -> end;
@@ -61,7 +61,7 @@
     check(invariant, holds, () -> detail);
   }
 
-  /** Details of what is read are long, so they are written out only for a violation. */
+  /** Formats the detail only for a violation: details of reads are long. */
   private void check(String invariant, boolean holds, Supplier<String> detail) {
     checks.count(invariant);
     if (!holds) {
@@ -71,7 +71,7 @@
     }
   }
 
-  /** A task of a process ended with an exception, which no task may. */
+  /** Records that a task of a process ended with an exception, which is always a violation. */
   void taskFailed(String host, RuntimeException cause) {
     String where = cause.getStackTrace().length == 0 ? "" : " at " + cause.getStackTrace()[0];
     check("no-failed-task", false, host + ": " + cause + where);
@@ -96,32 +96,39 @@
       long startMillis,
       long maxStalenessMillis) {
     reads++;
-    Set<String> found = new HashSet<>(seen);
+    Set<String> present = new HashSet<>(seen);
     check(
         "at-most-once",
-        found.size() == seen.size(),
+        present.size() == seen.size(),
         () -> slot + " holds a booking twice: " + seen);
     check(
         "read-your-writes",
-        found.containsAll(ownAcknowledged),
-        () -> caller + " read " + slot + " and saw " + seen + " but had booked " + ownAcknowledged);
-    List<String> old =
+        present.containsAll(ownAcknowledged),
+        () ->
+            caller
+                + " read "
+                + slot
+                + " and found "
+                + seen
+                + " without all of its own "
+                + ownAcknowledged);
+    List<String> required =
         acknowledgedBySlot.getOrDefault(slot, List.of()).stream()
             .filter(each -> each.atMillis() < startMillis - maxStalenessMillis)
             .map(Acknowledged::id)
             .toList();
     check(
         "staleness",
-        found.containsAll(old),
-        () -> caller + " read " + slot + " and missed one of " + old);
+        present.containsAll(required),
+        () -> caller + " read " + slot + " and missed one of " + required);
   }
 
-  void answerChecked(String caller, boolean whole, Supplier<String> detail) {
-    check("whole-own-answer", whole, () -> caller + ": " + detail.get());
+  void answerChecked(String caller, boolean complete, Supplier<String> detail) {
+    check("whole-own-answer", complete, () -> caller + ": " + detail.get());
   }
 
-  void plannedStopAnswer(String caller, boolean clean, String detail) {
-    check("planned-stop", clean, caller + ": " + detail);
+  void plannedStopAnswer(String caller, boolean allowed, String detail) {
+    check("planned-stop", allowed, caller + ": " + detail);
   }
 
   // ---- members ----
@@ -150,17 +157,20 @@
     Long since = drainedSince.get(member);
     if (since != null) {
       long after = clock.getAsLong() - since;
-      check("drained", after <= graceMillis, member + " got work " + after + " ms after its drain");
+      check(
+          "drained",
+          after <= graceMillis,
+          member + " received work " + after + " ms after its drain");
     }
   }
 
-  /** A record was written to some member's log: its bookings can't have been told as not run. */
+  /** Checks a record that a member has logged: none of its bookings may be reported as not run. */
   void logged(SimRecord record) {
     for (SimRecord.Booking booking : record.bookings()) {
       check(
           "not-run-is-true",
           outcomes.get(booking.id()) != Outcome.NOT_RUN,
-          booking.id() + " was told as not run and is logged at " + record.place());
+          booking.id() + " was reported as not run but is logged at " + record.logPosition());
     }
   }
 
@@ -179,7 +189,7 @@
     check(
         "one-leader-a-term",
         other == null || other.equals(identity),
-        identity + " and " + other + " lead term " + term);
+        identity + " and " + other + " are both leader of term " + term);
   }
 
   void commandAccepted(long version, String command) {
@@ -205,7 +215,7 @@
 
   // ---- end ----
 
-  /** Checks the final logs: every member of a group holds the same one by now. */
+  /** Checks the final log, which all members of the group share after recovery. */
   void checkEnd(List<SimRecord> finalLog, long configurationVersion, List<Long> nodeVersions) {
     Map<String, Integer> count = new HashMap<>();
     finalLog.forEach(
@@ -215,15 +225,19 @@
           int times = count.getOrDefault(id, 0);
           check("at-most-once", times <= 1, id + " is logged " + times + " times");
           if (outcome == Outcome.ACKNOWLEDGED) {
-            check("acknowledged-is-kept", times == 1, id + " was acknowledged and is lost");
+            check(
+                "acknowledged-is-kept", times == 1, id + " was acknowledged but is not in the log");
           } else if (outcome == Outcome.NOT_RUN) {
-            check("not-run-is-true", times == 0, id + " was told as not run and is logged");
+            check("not-run-is-true", times == 0, id + " was reported as not run but is logged");
           }
         });
     check(
         "accepted-is-kept",
         configurationVersion >= highestAcceptedVersion,
-        "version " + highestAcceptedVersion + " was accepted, now is " + configurationVersion);
+        "version "
+            + highestAcceptedVersion
+            + " was accepted, but the current version is "
+            + configurationVersion);
     for (long version : nodeVersions) {
       check(
           "in-force-everywhere",
@@ -256,7 +270,7 @@
     return events;
   }
 
-  /** The last events before the first violation, or of the run. */
+  /** Returns the last events up to the first violation, or the last events of the run. */
   List<String> excerpt() {
     int end = events.size();
     for (int i = 0; i < events.size(); i++) {
@@ -265,6 +279,6 @@
         break;
       }
     }
-    return events.subList(Math.max(0, end - SHOWN_EVENTS), end);
+    return events.subList(Math.max(0, end - EXCERPT_EVENTS), end);
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/LinkResets.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/LinkResets.java
@@ -4,21 +4,24 @@
 import java.util.function.BiConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Resets of links between processes that live on, so often that some meet links just opened. */
+/**
+ * Resets links between running processes, often enough that some links are reset right after they
+ * were opened.
+ */
 final class LinkResets {
-  private static final double SHARE = 0.08;
-  private static final long RESETS_MILLIS = 8_000;
-  private static final long EVERY_MILLIS = 35;
+  private static final double RESET_SHARE = 0.08;
+  private static final long DURATION_MILLIS = 8_000;
+  private static final long INTERVAL_MILLIS = 35;
 
   private LinkResets() {}
 
-  /** Resets links among some processes for a while. */
+  /** Schedules resets of random links between the processes. */
   static void start(
       BiConsumer<Long, Runnable> after,
       SimNetwork network,
       UniformRandomProvider random,
       List<String> processes) {
-    for (long at = 0; at < RESETS_MILLIS; at += EVERY_MILLIS) {
+    for (long at = 0; at < DURATION_MILLIS; at += INTERVAL_MILLIS) {
       after.accept(at, () -> resetSome(network, random, processes));
     }
   }
@@ -27,7 +30,7 @@
       SimNetwork network, UniformRandomProvider random, List<String> processes) {
     for (String from : processes) {
       for (String to : processes) {
-        if (!from.equals(to) && random.nextDouble() < SHARE) {
+        if (!from.equals(to) && random.nextDouble() < RESET_SHARE) {
           network.resetLink(from, to);
         }
       }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/RandomAdapter.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/RandomAdapter.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Gives the product's interface of random numbers to the simulator's generator. */
+/** Adapts the simulator's random number generator to the interface that the product uses. */
 final class RandomAdapter implements RandomGenerator {
   private final UniformRandomProvider provider;
 
--- a/lab/src/main/java/org/streamcourse/lab/simulation/Scenario.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/Scenario.java
@@ -7,60 +7,62 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** What fails in a simulated run; the exact moments and victims come from the run's seed. */
+/** Faults of a simulated run; the run's seed decides their times and victims. */
 public enum Scenario {
-  /** Only the network's usual faults: loss, duplication and reordering of control messages. */
+  /** Only the network's basic faults: loss, duplication and reordering of control messages. */
   CALM(world -> {}),
-  /** The primary's process dies, and later comes back. */
+  /** The primary's process is killed and later restarted. */
   PRIMARY_KILLED(Faults::killPrimary),
-  /** The primary's region is cut off while callers there still hold connections to it. */
+  /** The primary's region is partitioned off while callers there keep their connections to it. */
   PRIMARY_CUT(Faults::cutPrimaryRegion),
-  /** The primary freezes for seconds and wakes up believing it is still primary. */
+  /** The primary freezes for seconds and resumes in the belief that it is still primary. */
   PRIMARY_FROZEN(Faults::freezePrimary),
-  /** The member chosen as the new primary dies right after. */
-  CHOSEN_DIES(Faults::killPrimaryTwice),
-  /** Controllers no longer hear the primary's gateways, which serve and acknowledge on. */
-  PRIMARY_UNHEARD(Faults::silencePrimaryGateways),
-  /** A member is drained while its gateways no longer hear the controllers. */
-  DRAIN_UNHEARD(Faults::drainUnheard),
-  /** One replica, or both, fall far behind. */
+  /** The newly promoted primary is killed right after the first one. */
+  CHOSEN_DIES(Faults::killPrimaryAndSuccessor),
+  /**
+   * Controllers and the primary's gateways are cut off; the gateways go on acknowledging writes.
+   */
+  PRIMARY_UNHEARD(Faults::cutPrimaryGatewaysFromControllers),
+  /** A member is drained while its gateways are cut off from the controllers. */
+  DRAIN_UNHEARD(Faults::drainWhileGatewaysAreCutOff),
+  /** One replica, or both, lag far behind. */
   REPLICA_BEHIND(Faults::lagReplicas),
-  /** The leader of the controllers is cut off silently and still believes it leads. */
+  /** The controllers' leader is cut off without a connection reset and still believes it leads. */
   LEADER_CUT(Faults::cutLeader),
-  /** The leader's controller freezes and wakes up. */
+  /** The leading controller freezes and resumes. */
   LEADER_FROZEN(Faults::freezeLeader),
-  /** Operators send different commands that expect the same version. */
+  /** Operators concurrently send different commands that expect the same version. */
   OPERATORS_RACE(Faults::raceOperators),
-  /** An operator resends a command whose answer was lost. */
+  /** An operator sends the same command several times. */
   COMMAND_RESENT(Faults::resendCommands),
-  /** A controller loses its disk, is repaired, and then a second one is lost. */
+  /** A controller loses its disk and is restored, then a second controller loses its disk. */
   SECOND_MACHINE_LOST(Faults::loseTwoControllers),
-  /** Controllers crash at their disk writes, with torn tails, and come back, again and again. */
+  /** Controllers repeatedly crash in disk writes, leave torn tails, and restart. */
   CONTROLLERS_CRASH(Faults::crashControllers),
-  /** Proxies die while transactions are open. */
+  /** Proxies are killed while transactions are open. */
   PROXY_KILLED(Faults::killProxies),
-  /** A proxy freezes and wakes up. */
+  /** A proxy freezes and resumes. */
   PROXY_FROZEN(Faults::freezeProxy),
-  /** Proxies are stopped as planned, one after the other. */
+  /** Proxies are restarted in an orderly way, one after the other. */
   ROLLING_RESTART(Faults::restartProxies),
   /** A member is drained and restored. */
   MEMBER_DRAINED(Faults::drainMember),
-  /** The primary is changed as planned. */
+  /** Operators switch the primary over. */
   SWITCHOVER(Faults::switchPrimary),
-  /** The leader, the target or the former primary dies in the middle of a planned change. */
+  /** The leading controller, the target or the primary is killed during a switchover. */
   SWITCHOVER_INTERRUPTED(Faults::interruptSwitchover),
-  /** The whole region of a controller, two proxies and a member is cut off, one way or both. */
+  /** A region with a controller, two proxies and a member is partitioned off, one way or both. */
   REGION_CUT(Faults::cutRegion),
-  /** Proxies are unheard for longer than the controllers keep their parts of the limits. */
-  ALLOWANCE_LAPSED(Faults::silencePastAllowance),
-  /** Two of the failures above at once. */
+  /** Proxies are cut off from the controllers for longer than their allowances last. */
+  ALLOWANCE_LAPSED(Faults::cutProxiesPastAllowance),
+  /** Two of the scenarios above at once. */
   TWO_AT_ONCE(Scenario::startTwo),
-  /** The platform's list, which each controller reads late, calls a member leaving. */
-  PLATFORM_LEAVING(Faults::leaveByPlatform),
-  /** Links between living proxies are reset again and again, also right after they were opened. */
+  /** The platform lists a member as leaving; each controller reads the list with a delay. */
+  PLATFORM_LEAVING(Faults::drainByPlatform),
+  /** Links between running proxies are reset repeatedly, also right after they were opened. */
   LINKS_RESET(Faults::resetLinks);
 
-  /** Scenarios of nothing but planned work, in which callers must see no error at all. */
+  /** Scenarios of planned operations only, in which callers must receive no error. */
   private static final Set<Scenario> PLANNED =
       EnumSet.of(
           CALM,
@@ -77,7 +79,7 @@
     this.start = start;
   }
 
-  /** Whether callers must see no error, but for the word that their proxy stops. */
+  /** Whether callers must receive no error other than the notice that their proxy stops. */
   boolean isPlanned() {
     return PLANNED.contains(this);
   }
@@ -106,20 +108,20 @@
   }
 
   private static void startTwo(World world) {
-    Scenario first = startOneOfTwo(world, drawOneOfTwo(world));
-    Scenario second = drawOneOfTwo(world);
+    Scenario first = startAndRecord(world, draw(world));
+    Scenario second = draw(world);
     while (first == SECOND_MACHINE_LOST && second == SECOND_MACHINE_LOST) {
-      // Both would lose a disk before the other is repaired: two of three are more than is borne.
-      second = drawOneOfTwo(world);
+      // Both would lose a disk before the other is restored; two of three voters are a majority.
+      second = draw(world);
     }
-    startOneOfTwo(world, second);
+    startAndRecord(world, second);
   }
 
-  private static Scenario drawOneOfTwo(World world) {
+  private static Scenario draw(World world) {
     return values()[world.random().nextInt(TWO_AT_ONCE.ordinal())];
   }
 
-  private static Scenario startOneOfTwo(World world, Scenario one) {
+  private static Scenario startAndRecord(World world, Scenario one) {
     world.history().event("also " + one.label());
     one.start(world);
     return one;
--- a/lab/src/main/java/org/streamcourse/lab/simulation/ServiceChecks.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/ServiceChecks.java
@@ -15,19 +15,20 @@
 import org.streamcourse.version.image.TenantId;
 
 /**
- * What callers and members of a simulated service have seen, checked as it happens: fresh reads,
- * single effects, true refusals, whole transactions, drains, configuration.
+ * Checks the observations of callers and members of a simulated service as they are made: freshness
+ * of reads, effects of writes, refusals, isolation of sessions and transactions, drains, limits and
+ * configuration.
  */
 final class ServiceChecks {
-  /** Time after the answer to a member that leaves from which it must get no new work. */
-  static final long DRAIN_MILLIS = 7_000;
+  /** Time after the acknowledgement of a member's drain from which it must get no new work. */
+  static final long DRAIN_GRACE_MILLIS = 7_000;
 
-  /** Time after the answer to an operator from which a document must be in force. */
+  /** Time after the acknowledgement of a document from which it must be in force. */
   static final long APPLY_MILLIS = 4_000;
 
-  private static final int SHOWN_EVENTS = 60;
+  private static final int EXCERPT_EVENTS = 60;
 
-  /** One write in the log of a member. */
+  /** One write in a member's log. */
   record LogEntry(long term, String statement, long session) {}
 
   private record Limit(double rate, long sinceMillis) {}
@@ -44,7 +45,7 @@
   private final Map<String, Long> drainedAt = new HashMap<>();
   private final Map<TenantId, Limit> limits = new HashMap<>();
   private final Map<TenantId, Deque<Long>> operations = new HashMap<>();
-  private final Map<String, Long> takenAwayAt = new HashMap<>();
+  private final Map<String, Long> revokedAt = new HashMap<>();
   private final Map<AnswerCode, Long> outcomes = new HashMap<>();
   private long longestWriteGapMillis;
   private long refusedConnections;
@@ -64,7 +65,7 @@
   }
 
   List<String> lastEvents() {
-    return events.subList(Math.max(0, events.size() - SHOWN_EVENTS), events.size());
+    return events.subList(Math.max(0, events.size() - EXCERPT_EVENTS), events.size());
   }
 
   long count(AnswerCode code) {
@@ -102,7 +103,7 @@
         statement + " was answered with " + signature);
   }
 
-  /** The longest time between two acknowledged writes, from the first one on. */
+  /** Returns the longest time between two consecutive acknowledged writes. */
   long longestWriteGapMillis() {
     return longestWriteGapMillis;
   }
@@ -117,7 +118,7 @@
 
   // ---- members ----
 
-  /** A member refuses a connection that is over its limit. */
+  /** Counts a connection that a member refuses because it is over the member's limit. */
   void connectionRefused() {
     refusedConnections++;
   }
@@ -126,7 +127,9 @@
     return refusedConnections;
   }
 
-  /** A member runs a read that its caller sent at a time. */
+  /**
+   * Checks that a read at a member returns the acknowledged writes that its consistency requires.
+   */
   void read(
       String member,
       List<LogEntry> log,
@@ -160,23 +163,28 @@
     check(
         "refused-is-not-kept",
         !refused.containsKey(entry.statement()),
-        entry.statement() + " was committed though " + refused.get(entry.statement()));
+        entry.statement()
+            + " was committed but had been refused with "
+            + refused.get(entry.statement()));
   }
 
-  /** A member leads with a log; what callers could not see since a former change stays away. */
+  /** Checks a promoted member's log: writes dropped by an earlier promotion must not return. */
   void promoted(String member, List<LogEntry> log) {
-    List<LogEntry> back = log.stream().filter(dropped::contains).toList();
-    check("dropped-stays-dropped", back.isEmpty(), member + " leads with dropped writes " + back);
+    List<LogEntry> returned = log.stream().filter(dropped::contains).toList();
+    check(
+        "dropped-stays-dropped",
+        returned.isEmpty(),
+        member + " was promoted with dropped writes " + returned);
   }
 
   void droppedByPromotion(List<LogEntry> entries, boolean synchronous) {
     dropped.addAll(entries);
     for (LogEntry entry : entries) {
-      boolean told = acknowledged.stream().anyMatch(each -> each.entry().equals(entry));
+      boolean wasAcknowledged = acknowledged.stream().anyMatch(each -> each.entry().equals(entry));
       check(
           "acknowledged-is-kept",
-          !synchronous || !told,
-          entry + " was acknowledged and is not in the promoted log");
+          !synchronous || !wasAcknowledged,
+          entry + " was acknowledged but is not in the promoted log");
     }
   }
 
@@ -184,10 +192,12 @@
     check(
         "session-is-its-own",
         expected.equals(found),
-        statement + " ran with " + found + " in place of " + expected);
+        statement + " ran with " + found + " instead of " + expected);
   }
 
-  /** A member runs a statement over a connection that was opened for a tenant. */
+  /**
+   * Checks that the connection on which a member runs a statement belongs to the caller's tenant.
+   */
   void tenant(String statement, TenantId expected, TenantId found) {
     check(
         "runs-for-its-tenant",
@@ -195,32 +205,32 @@
         statement + " of " + expected + " ran over a connection of " + found);
   }
 
-  /** A document without a key was acknowledged. */
-  void keyTakenAway(String key) {
-    takenAwayAt.putIfAbsent(key, clock.getAsLong());
+  /** Records that a document without this key was acknowledged. */
+  void keyRevoked(String key) {
+    revokedAt.putIfAbsent(key, clock.getAsLong());
   }
 
-  /** A member runs a statement of a caller who showed a key at a proxy. */
-  void keyInForce(String statement, String key, boolean inTouch) {
-    Long since = takenAwayAt.get(key);
+  /** Checks a statement that a member runs for a caller that connected with this key. */
+  void keyInForce(String statement, String key, boolean confirmed) {
+    Long since = revokedAt.get(key);
     check(
         "key-is-in-force",
-        since == null || !inTouch || clock.getAsLong() - since <= APPLY_MILLIS,
-        statement + " ran although its key was taken away at " + since);
+        since == null || !confirmed || clock.getAsLong() - since <= APPLY_MILLIS,
+        statement + " ran although its key was revoked at " + since);
   }
 
-  /** A lower limit of a tenant was acknowledged. */
+  /** Records that a lower limit of a tenant was acknowledged. */
   void limitLowered(TenantId tenant, double rate) {
     limits.put(tenant, new Limit(rate, clock.getAsLong()));
   }
 
-  /** A member runs the first statement of an operation. */
+  /** Checks the tenant's limit when a member runs the first statement of an operation. */
   void operation(TenantId tenant, String statement, QuotaSettings settings) {
-    Deque<Long> ran = operations.computeIfAbsent(tenant, any -> new ArrayDeque<>());
+    Deque<Long> started = operations.computeIfAbsent(tenant, any -> new ArrayDeque<>());
     long now = clock.getAsLong();
-    ran.addLast(now);
-    while (now - ran.peekFirst() >= settings.windowMillis()) {
-      ran.pollFirst();
+    started.addLast(now);
+    while (now - started.peekFirst() >= settings.windowMillis()) {
+      started.pollFirst();
     }
     Limit limit = limits.get(tenant);
     if (limit != null && now - limit.sinceMillis() > APPLY_MILLIS + settings.windowMillis()) {
@@ -228,8 +238,14 @@
       double bound = nominal * (1 + settings.slackShare()) + settings.slackOperations();
       check(
           "limit-holds",
-          ran.size() <= bound,
-          statement + " is number " + ran.size() + " of " + tenant + " in a window, of " + bound);
+          started.size() <= bound,
+          statement
+              + " is operation "
+              + started.size()
+              + " of "
+              + tenant
+              + " in a window, limit "
+              + bound);
     }
   }
 
@@ -237,20 +253,20 @@
     check(
         "transactions-never-mix",
         expected.equals(found),
-        statement + " ran in " + found + " in place of " + expected);
+        statement + " ran in " + found + " instead of " + expected);
   }
 
   void drainAcknowledged(String member) {
     drainedAt.putIfAbsent(member, clock.getAsLong());
   }
 
-  /** A proxy that is cut off from the controllers can't know that a member leaves. */
-  void newWork(String member, String statement, boolean inTouch) {
+  /** Checks new work at a draining member; a proxy without confirmation can't know of the drain. */
+  void newWork(String member, String statement, boolean confirmed) {
     Long since = drainedAt.get(member);
     check(
         "leaving-gets-no-work",
-        since == null || !inTouch || clock.getAsLong() - since <= DRAIN_MILLIS,
-        statement + " came to " + member + ", which left at " + since);
+        since == null || !confirmed || clock.getAsLong() - since <= DRAIN_GRACE_MILLIS,
+        statement + " was sent to " + member + ", which drains since " + since);
   }
 
   // ---- configuration ----
@@ -262,21 +278,21 @@
     }
   }
 
-  /** A node that hears the controllers has a document in force. */
+  /** Checks the version of the document in force at a confirmed node. */
   void documentInForce(String node, long version) {
     boolean due = clock.getAsLong() - acknowledgedDocumentAt > APPLY_MILLIS;
     check(
         "document-in-force",
         !due || version >= highestAcknowledgedDocument,
-        node + " has " + version + " in place of " + highestAcknowledgedDocument);
+        node + " has document " + version + " instead of " + highestAcknowledgedDocument);
   }
 
-  /** A read of the document that was sent at a time. */
+  /** Checks the document version that a read sent at this time returned. */
   void documentRead(long version, long sentMillis) {
     check(
         "document-read-is-newest",
         sentMillis < acknowledgedDocumentAt || version >= highestAcknowledgedDocument,
-        "read " + version + " after " + highestAcknowledgedDocument);
+        "read document " + version + " after " + highestAcknowledgedDocument);
   }
 
   void order(long fence, Set<Long> seen) {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/ServiceScenario.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/ServiceScenario.java
@@ -9,58 +9,58 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.streamcourse.version.image.TenantId;
 
-/** What fails around a service whose members register themselves. */
+/** Faults of a simulated run of a service whose members register themselves. */
 public enum ServiceScenario {
-  /** Only documents that change, and reads of them. */
+  /** Routing documents are replaced and read; no process fails. */
   DOCUMENTS_CHANGE(ServiceScenario::changeDocuments),
-  /** The primary's process dies and comes back later. */
+  /** The primary's process is killed and later restarted. */
   PRIMARY_KILLED(ServiceScenario::killPrimary),
-  /** The primary's machine falls silent, with connections standing. */
-  PRIMARY_DARK(ServiceScenario::darkenPrimary),
-  /** The primary says that it leaves. */
-  PRIMARY_LEAVES(ServiceScenario::letPrimaryLeave),
+  /** The primary's host is cut off from all others without a reset of its connections. */
+  PRIMARY_DARK(ServiceScenario::isolatePrimary),
+  /** The primary announces that it drains, and is replaced. */
+  PRIMARY_LEAVES(ServiceScenario::replacePrimary),
   /** All members are replaced, one after the other. */
   MEMBERS_REPLACED(ServiceScenario::replaceMembers),
-  /** The primary is cut off from the replicas only, then dies. */
+  /** The primary is cut off from the replicas only, then killed. */
   PRIMARY_CUT_FROM_REPLICAS(ServiceScenario::cutPrimaryFromReplicas),
   /** The primary is cut off from some proxies. */
   PRIMARY_CUT_FROM_PROXIES(ServiceScenario::cutPrimaryFromProxies),
-  /** Replicas fall far behind. */
+  /** Replicas lag far behind. */
   REPLICAS_BEHIND(ServiceScenario::lagReplicas),
-  /** Answers of members break off. */
-  ANSWERS_LOST(ServiceScenario::loseAnswers),
-  /** Orders to the outside agent get no answer and are carried out late, while primaries die. */
+  /** Connections to members break before an answer is sent. */
+  ANSWERS_LOST(ServiceScenario::breakConnections),
+  /** The promotion agent executes orders late and does not answer, while primaries are killed. */
   ORDERS_LATE(ServiceScenario::delayOrders),
-  /** Proxies die and come back. */
+  /** Proxies are killed and restarted. */
   PROXIES_KILLED(ServiceScenario::killProxies),
   /** A proxy is cut off from the controllers. */
-  PROXY_UNHEARD(ServiceScenario::cutProxy),
+  PROXY_UNHEARD(ServiceScenario::cutProxyFromControllers),
   /** The leading controller is cut off. */
   LEADER_CUT(ServiceScenario::cutLeader),
-  /** The leading controller dies while a change of primary is under way. */
+  /** The leading controller is killed during a change of primary. */
   LEADER_KILLED_DURING_CHANGE(ServiceScenario::killLeaderDuringChange),
   /** All controllers are killed at once. */
   CONTROLLERS_KILLED(ServiceScenario::killControllers),
   /** A controller loses its disk. */
-  CONTROLLER_DISK_LOST(ServiceScenario::loseDisk),
-  /** Two of the failures above at once. */
-  TWO_AT_ONCE(world -> startSome(world, 2)),
-  /** Three of the failures above at once. */
-  THREE_AT_ONCE(world -> startSome(world, 3)),
-  /** Keys of tenants are replaced while their callers are connected. */
+  CONTROLLER_DISK_LOST(ServiceScenario::loseControllerDisk),
+  /** Two of the scenarios above at once. */
+  TWO_AT_ONCE(world -> startDistinct(world, 2)),
+  /** Three of the scenarios above at once. */
+  THREE_AT_ONCE(world -> startDistinct(world, 3)),
+  /** Tenants' keys are replaced while their callers are connected. */
   KEYS_CHANGE(ServiceScenario::changeKeys),
-  /** A tenant's limit is lowered far below what its callers do. */
+  /** A tenant's limit is lowered far below the rate of its callers. */
   LIMIT_LOWERED(ServiceScenario::lowerLimit),
-  /** Links between living proxies are reset again and again, also right after they were opened. */
+  /** Links between running proxies are reset repeatedly, also right after they were opened. */
   LINKS_RESET(ServiceScenario::resetLinks);
 
-  private static final long MOST_DELAY_MILLIS = 3_000;
+  private static final long MAX_DELAY_MILLIS = 3_000;
   private static final long OUTAGE_MILLIS = 4_000;
 
-  /** Operations a second; each of a tenant's two callers does some ten. */
+  /** Operations per second; each of a tenant's two callers runs about ten. */
   private static final double LOW_RATE = 1;
 
-  private static final long SERVE_MILLIS = 8_000;
+  private static final long DRAIN_MILLIS = 8_000;
 
   private final Consumer<ServiceWorld> start;
 
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Starts what fails.
+   * Starts the faults.
    *
-   * @param world a fleet at work
+   * @param world running fleet
    */
   public void start(ServiceWorld world) {
     start.accept(world);
@@ -86,16 +86,16 @@
     return "service-" + name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  private static void soon(ServiceWorld world, Runnable task) {
-    world.after(world.random().nextLong(MOST_DELAY_MILLIS), task);
+  private static void afterRandomDelay(ServiceWorld world, Runnable task) {
+    world.after(world.random().nextLong(MAX_DELAY_MILLIS), task);
   }
 
-  private static void startSome(ServiceWorld world, int count) {
+  private static void startDistinct(ServiceWorld world, int count) {
     Set<ServiceScenario> started = EnumSet.noneOf(ServiceScenario.class);
     while (started.size() < count) {
       ServiceScenario one = values()[world.random().nextInt(TWO_AT_ONCE.ordinal())];
       if (!started.add(one)) {
-        // Twice the same would lose two disks of three, more than is borne.
+        // The same scenario twice could lose the disks of two of three controllers, a majority.
         continue;
       }
       world.checks().event("also " + one.label());
@@ -112,7 +112,7 @@
 
   private static void changeKeys(ServiceWorld world) {
     for (TenantId tenant : world.operator().tenants()) {
-      soon(
+      afterRandomDelay(
           world,
           () -> {
             world.faults().count("key-changed");
@@ -128,7 +128,7 @@
   }
 
   private static void killPrimary(ServiceWorld world) {
-    soon(
+    afterRandomDelay(
         world,
         () ->
             world
@@ -138,18 +138,18 @@
                     member -> {
                       world.faults().count("primary-killed");
                       member.host().kill();
-                      world.after(OUTAGE_MILLIS, () -> revive(member));
+                      world.after(OUTAGE_MILLIS, () -> restartIfKilled(member));
                     }));
   }
 
-  private static void revive(SimServiceMember member) {
-    if (!member.host().isUp() && !member.hasDeparted()) {
+  private static void restartIfKilled(SimServiceMember member) {
+    if (!member.host().isUp() && !member.isRemoved()) {
       member.boot();
     }
   }
 
-  private static void darkenPrimary(ServiceWorld world) {
-    soon(
+  private static void isolatePrimary(ServiceWorld world) {
+    afterRandomDelay(
         world,
         () ->
             world
@@ -162,8 +162,9 @@
                     }));
   }
 
-  private static void letPrimaryLeave(ServiceWorld world) {
-    soon(world, () -> world.group().primary().ifPresent(member -> replace(world, member)));
+  private static void replacePrimary(ServiceWorld world) {
+    afterRandomDelay(
+        world, () -> world.group().primary().ifPresent(member -> replace(world, member)));
   }
 
   private static void replaceMembers(ServiceWorld world) {
@@ -181,11 +182,11 @@
     world.faults().count("member-replaced");
     SimServiceMember successor = world.newMember(world.random().nextInt(3));
     successor.boot();
-    world.after(500, () -> member.leave(SERVE_MILLIS));
+    world.after(500, () -> member.drainAndStop(DRAIN_MILLIS));
   }
 
   private static void cutPrimaryFromReplicas(ServiceWorld world) {
-    soon(
+    afterRandomDelay(
         world,
         () ->
             world
@@ -204,7 +205,7 @@
   }
 
   private static void cutPrimaryFromProxies(ServiceWorld world) {
-    soon(
+    afterRandomDelay(
         world,
         () ->
             world
@@ -223,13 +224,13 @@
     world.members().values().forEach(member -> member.setLagMillis(random.nextLong(2_500)));
   }
 
-  private static void loseAnswers(ServiceWorld world) {
+  private static void breakConnections(ServiceWorld world) {
     world.faults().count("answers-lost");
-    world.setLostAnswers(true);
+    world.setConnectionsBreak(true);
   }
 
   private static void delayOrders(ServiceWorld world) {
-    world.group().setLateOrders(true);
+    world.group().setDelaysOrders(true);
     killPrimary(world);
     world.after(OUTAGE_MILLIS, () -> killPrimary(world));
   }
@@ -237,19 +238,19 @@
   private static void killProxies(ServiceWorld world) {
     for (SimServiceProxy proxy : world.proxies().values()) {
       if (world.random().nextBoolean()) {
-        soon(
+        afterRandomDelay(
             world,
             () -> {
               world.faults().count("proxy-killed");
               proxy.host().kill();
-              world.after(MOST_DELAY_MILLIS / 2, proxy::recover);
+              world.after(MAX_DELAY_MILLIS / 2, proxy::recover);
             });
       }
     }
   }
 
-  private static void cutProxy(ServiceWorld world) {
-    soon(
+  private static void cutProxyFromControllers(ServiceWorld world) {
+    afterRandomDelay(
         world,
         () -> {
           world.faults().count("proxy-unheard");
@@ -259,7 +260,7 @@
   }
 
   private static void cutLeader(ServiceWorld world) {
-    soon(
+    afterRandomDelay(
         world,
         () ->
             world
@@ -291,7 +292,7 @@
 
   private static void killControllers(ServiceWorld world) {
     changeDocuments(world);
-    soon(
+    afterRandomDelay(
         world,
         () -> {
           world.faults().count("controllers-killed");
@@ -312,9 +313,9 @@
     }
   }
 
-  private static void loseDisk(ServiceWorld world) {
+  private static void loseControllerDisk(ServiceWorld world) {
     changeDocuments(world);
-    soon(
+    afterRandomDelay(
         world,
         () -> {
           world.faults().count("controller-disk-lost");
--- a/lab/src/main/java/org/streamcourse/lab/simulation/ServiceWorld.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/ServiceWorld.java
@@ -34,8 +34,8 @@
 import reactor.test.scheduler.VirtualTimeScheduler;
 
 /**
- * One simulated fleet before a service whose members register themselves and whose primary is
- * changed by an outside agent, with its callers and operator, on a virtual clock.
+ * A simulated fleet with a service whose members register themselves and whose primary is changed
+ * by an external promotion agent, with its callers and operator, on a virtual clock.
  */
 public class ServiceWorld {
   static final long STALENESS_MILLIS = 1_500;
@@ -44,10 +44,10 @@
   private static final int REGIONS = 3;
   private static final int CALLERS_PER_ROUTE = 3;
   private static final long CALLER_MICROS = 3_000;
-  private static final double LOST_ANSWER_SHARE = 0.03;
-  private static final long MOST_WORK_MILLIS = 30;
+  private static final double BROKEN_CONNECTION_SHARE = 0.03;
+  private static final long MAX_WORK_MILLIS = 30;
   private static final long OBSERVE_MILLIS = 200;
-  private static final long CONFIRMED_MILLIS = 4_500;
+  private static final long STABLE_CONFIRMATION_MILLIS = 4_500;
   private static final long STARTUP_MILLIS = 6_000;
   private static final long FAULTS_MILLIS = 10_000;
   private static final long RECOVERY_MILLIS = 12_000;
@@ -58,8 +58,8 @@
   private static final SimNetwork.Conditions CONDITIONS =
       new SimNetwork.Conditions(1_500, 20_000, 0.02, 0.02);
 
-  /** What is known of a statement that a caller sent. */
-  record Sent(
+  /** A statement as its caller sent it, and the session and transaction it belongs to. */
+  record SentStatement(
       RouteConsistency consistency,
       TenantId tenant,
       String key,
@@ -84,17 +84,17 @@
   private final SimServiceGroup group = new SimServiceGroup(this);
   private final SimOperator operator = new SimOperator(this);
   private final List<SimServiceCaller> callers = new ArrayList<>();
-  private final Map<String, Sent> statements = new HashMap<>();
+  private final Map<String, SentStatement> statements = new HashMap<>();
   private final Map<String, LogEntry> committed = new HashMap<>();
   private final Map<String, Long> confirmedSince = new HashMap<>();
   private final ServiceSize size;
   private long sessions;
-  private boolean lostAnswers;
+  private boolean connectionsBreak;
 
   /**
    * Builds a fleet that does not run yet.
    *
-   * @param seed decides everything that is left to chance
+   * @param seed seed of all random draws
    */
   public ServiceWorld(long seed) {
     this(seed, ServiceSize.DEFAULT);
@@ -103,13 +103,13 @@
   /**
    * Builds a fleet that does not run yet.
    *
-   * @param seed decides everything that is left to chance
-   * @param size how large the fleet is
+   * @param seed seed of all random draws
+   * @param size size of the fleet
    */
   public ServiceWorld(long seed, ServiceSize size) {
     this.size = size;
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    network = new SimNetwork(scheduler, random, World.CODEC, CONDITIONS, faults, new SimParts());
+    network = new SimNetwork(scheduler, random, World.CODEC, CONDITIONS, faults, new SimHooks());
     for (int i = 0; i < World.CONTROLLERS.size(); i++) {
       newHost(World.CONTROLLERS.get(i), i);
     }
@@ -145,9 +145,9 @@
     return member;
   }
 
-  // ---- parts that tests replace by unsafe ones ----
+  // ---- extension points that tests override with unsafe variants ----
 
-  /** A proxy's node. */
+  /** Creates the node of a proxy. */
   protected StatementProxyNode newProxyNode(
       SimHost host, NodeImage self, MemberDialer dialer, RequestLog log) {
     return new StatementProxyNode(
@@ -158,16 +158,16 @@
         self,
         dialer,
         log,
-        (long) host.run() << Integer.SIZE,
+        (long) host.incarnation() << Integer.SIZE,
         proxyQuotas());
   }
 
-  /** How proxies count limits. */
+  /** Returns the settings with which proxies count limits. */
   protected QuotaSettings proxyQuotas() {
     return QUOTAS;
   }
 
-  /** Fence that reaches the outside agent with an order. */
+  /** Returns the fence that the external promotion agent receives with an order. */
   protected long fenceOf(PromotionAgent.Order order) {
     return order.fence();
   }
@@ -177,7 +177,7 @@
   /**
    * Runs a scenario from boot to the last check.
    *
-   * @param scenario starts what fails, once callers are at work
+   * @param scenario starts the faults once callers are running
    */
   public void run(Consumer<ServiceWorld> scenario) {
     network.setFaulty(true);
@@ -203,15 +203,15 @@
     long written = committed.size() - committedBefore;
     checks.progress(
         served >= MIN_PROGRESS && written >= 1,
-        served + " statements served and " + written + " writes kept after recovery");
+        served + " statements completed and " + written + " writes committed after recovery");
     callers.forEach(SimServiceCaller::stop);
     advance(PROGRESS_MILLIS);
     end();
   }
 
   private void endFaults() {
-    group.setLateOrders(false);
-    lostAnswers = false;
+    group.setDelaysOrders(false);
+    connectionsBreak = false;
     network.healAll();
     World.CONTROLLERS.forEach(
         name -> {
@@ -221,7 +221,7 @@
         });
     for (SimServiceMember member : members.values()) {
       member.setLagMillis(8);
-      if (!member.host().isUp() && !member.hasDeparted()) {
+      if (!member.host().isUp() && !member.isRemoved()) {
         member.boot();
       }
     }
@@ -230,7 +230,7 @@
 
   private void end() {
     Optional<SimServiceMember> primary = group.primary();
-    checks.progress(primary.isPresent(), "no member is primary at the end");
+    checks.progress(primary.isPresent(), "the service has no primary at the end");
     primary.ifPresent(
         member -> member.received().forEach(entry -> checks.committed(entry, member.received())));
   }
@@ -239,7 +239,7 @@
     scheduler.advanceTimeBy(Duration.ofMillis(millis));
   }
 
-  /** Nodes that have been confirmed for a while must have the acknowledged document in force. */
+  /** Checks that nodes confirmed for long enough have the acknowledged document in force. */
   private void observe() {
     proxies.forEach(
         (name, proxy) -> {
@@ -249,16 +249,16 @@
             return;
           }
           long since = confirmedSince.computeIfAbsent(name, any -> nowMillis());
-          if (nowMillis() - since > CONFIRMED_MILLIS) {
+          if (nowMillis() - since > STABLE_CONFIRMATION_MILLIS) {
             checks.documentInForce(name, proxy.node().image().document().version());
           }
         });
   }
 
-  /** Whether a proxy has been in touch with the controllers for long enough to know their word. */
-  boolean isInTouch(String proxy) {
+  /** Whether the controllers have confirmed a proxy for long enough that its image is current. */
+  boolean isStablyConfirmed(String proxy) {
     Long since = confirmedSince.get(proxy);
-    return since != null && nowMillis() - since > CONFIRMED_MILLIS;
+    return since != null && nowMillis() - since > STABLE_CONFIRMATION_MILLIS;
   }
 
   // ---- controllers ----
@@ -306,14 +306,14 @@
         .findFirst();
   }
 
-  /** Makes a call at a controller; the answer, if any, comes back over the network. */
+  /** Calls a controller over the network; call and answer may be lost. */
   void call(String from, String controller, ServiceCall call, Consumer<ServiceCall.Result> answer) {
     SimHost host = hosts.get(controller);
-    int run = host.run();
+    int incarnation = host.incarnation();
     Runnable arrive =
         () ->
             host.execute(
-                run,
+                incarnation,
                 () ->
                     controllers
                         .get(controller)
@@ -328,7 +328,8 @@
   void memberHeartbeat(
       SimServiceMember member, String controller, long sequence, Runnable acknowledged) {
     ServiceCall.MemberHeartbeat heartbeat =
-        new ServiceCall.MemberHeartbeat(SERVICE, member.described(), member.isPrimary(), sequence);
+        new ServiceCall.MemberHeartbeat(
+            SERVICE, member.registration(), member.isPrimary(), sequence);
     call(
         member.host().name(),
         controller,
@@ -340,7 +341,7 @@
         });
   }
 
-  void memberLeaves(SimServiceMember member) {
+  void deregister(SimServiceMember member) {
     for (String controller : World.CONTROLLERS) {
       call(
           member.host().name(),
@@ -358,7 +359,7 @@
 
   void dial(SimServiceProxy proxy, String target, MemberChannel.Listener listener) {
     SimHost from = proxy.host();
-    int run = from.run();
+    int incarnation = from.incarnation();
     SimServiceMember member = members.get(target);
     network.deliver(
         from.name(),
@@ -366,31 +367,31 @@
         () -> {
           if (!member.host().isUp()) {
             Runnable refused = () -> listener.closed("refused");
-            network.deliver(target, from.name(), () -> from.execute(run, refused));
+            network.deliver(target, from.name(), () -> from.execute(incarnation, refused));
             return;
           }
           SimServiceConnection connection = new SimServiceConnection(this, from, member, listener);
           proxy.connected(connection);
           Runnable connected = () -> listener.connected(connection);
-          network.deliver(target, from.name(), () -> from.execute(run, connected));
+          network.deliver(target, from.name(), () -> from.execute(incarnation, connected));
         });
   }
 
-  boolean losesAnswer(SimServiceMember member) {
-    return lostAnswers && random.nextDouble() < LOST_ANSWER_SHARE;
+  boolean breaksConnection(SimServiceMember member) {
+    return connectionsBreak && random.nextDouble() < BROKEN_CONNECTION_SHARE;
   }
 
   long workMillis() {
-    return 1 + random.nextLong(MOST_WORK_MILLIS);
+    return 1 + random.nextLong(MAX_WORK_MILLIS);
   }
 
   // ---- statements ----
 
-  void note(String statement, Sent sent) {
+  void recordSent(String statement, SentStatement sent) {
     statements.put(statement, sent);
   }
 
-  Sent sent(String statement) {
+  SentStatement sent(String statement) {
     return statements.get(statement);
   }
 
@@ -400,7 +401,7 @@
 
   void acknowledged(String statement) {
     LogEntry entry = committed.get(statement);
-    checks.progress(entry != null, statement + " was acknowledged and never committed");
+    checks.progress(entry != null, statement + " was acknowledged but never committed");
     if (entry != null) {
       checks.writeAcknowledged(entry);
     }
@@ -481,11 +482,11 @@
     return operator;
   }
 
-  void setLostAnswers(boolean value) {
-    lostAnswers = value;
+  void setConnectionsBreak(boolean value) {
+    connectionsBreak = value;
   }
 
-  /** Cuts a machine off from others, both ways. */
+  /** Cuts a host off from other hosts, in both directions. */
   void cut(String host, Iterable<String> others) {
     for (String other : others) {
       if (!other.equals(host)) {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimCaller.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimCaller.java
@@ -19,9 +19,9 @@
 import org.streamcourse.process.Worker;
 
 /**
- * A caller that books and reads, alone or in transactions, and moves from proxy to proxy, with its
- * floor token or without. It checks each answer against its own request and notes all in the
- * history.
+ * A caller that inserts and reads bookings, in single statements or transactions, and reconnects to
+ * random proxies with or without its floor token. It checks each answer against its own request and
+ * records outcomes in the history.
  */
 public class SimCaller {
   private static final long PAUSE_MILLIS = 30;
@@ -29,13 +29,13 @@
   private static final long RECONNECT_MILLIS = 100;
   private static final int SLOTS = 5;
   private static final double TRANSACTION_SHARE = 0.25;
-  private static final double NAMED_SHARE = 0.3;
+  private static final double KEYED_SHARE = 0.3;
   private static final int MAX_RESENDS = 8;
   private static final String ALREADY_RUN = "SC001";
-  private static final double ROAM_SHARE = 0.06;
+  private static final double RECONNECT_SHARE = 0.06;
   private static final double TOKEN_SHARE = 0.6;
   private static final String FLOOR = "streamcourse.floor";
-  private static final String STOPPING = "57P01";
+  private static final String ADMIN_SHUTDOWN = "57P01";
 
   private final String name;
   private final String group;
@@ -44,25 +44,25 @@
   private final Worker worker;
   private final double readShare;
   private final Map<String, Set<String>> ownAcknowledged = new HashMap<>();
-  private Line line;
+  private Connection connection;
   private String token = "";
   private long requests;
   private boolean stopped;
 
-  /** What is being waited for. */
+  /** Runs when the outstanding answer does not arrive in time. */
   private Runnable onTimeout = () -> {};
 
   private AnswerHandler onAnswer;
   private long waitNumber;
 
   /**
-   * Handles a whole answer, or the loss of the connection when the error state is {@code 08006}.
+   * Handles a complete answer, or the loss of the connection as an error with state {@code 08006}.
    */
   private interface AnswerHandler {
     void answered(Answer answer);
   }
 
-  /** One whole answer. */
+  /** One complete answer. */
   private record Answer(List<List<String>> rows, String tag, String errorState, String errorText) {
     boolean isError() {
       return !errorState.isEmpty();
@@ -93,8 +93,8 @@
     if (stopped) {
       return;
     }
-    boolean roams = random.nextDouble() < ROAM_SHARE;
-    if (line == null || line.closed || roams) {
+    boolean reconnects = random.nextDouble() < RECONNECT_SHARE;
+    if (connection == null || connection.closed || reconnects) {
       connect();
       return;
     }
@@ -105,8 +105,8 @@
       read(slot);
     } else if (kind < readShare + TRANSACTION_SHARE * (1 - readShare)) {
       transaction(slot);
-    } else if (random.nextDouble() < NAMED_SHARE) {
-      new NamedBooking(slot, name + '-' + requests).send();
+    } else if (random.nextDouble() < KEYED_SHARE) {
+      new KeyedBooking(slot, name + '-' + requests).send();
     } else {
       book(slot);
     }
@@ -124,30 +124,30 @@
     }
   }
 
-  /** Goes on at some proxy; returns false when that one takes no callers. */
+  /** Connects to a random proxy; returns false when that proxy accepts no callers. */
   private boolean reconnect() {
-    if (line != null) {
-      line.hangUp();
-      line = null;
+    if (connection != null) {
+      connection.disconnect();
+      connection = null;
     }
     SimProxy proxy = world.randomProxy(random);
     if (proxy == null || !proxy.accepts()) {
       return false;
     }
-    Line next = new Line(proxy);
-    String handedIn = keepsToken() && !token.isEmpty() ? token : "";
-    if (next.open(handedIn)) {
-      line = next;
+    Connection next = new Connection(proxy);
+    String presentedToken = presentsToken() && !token.isEmpty() ? token : "";
+    if (next.open(presentedToken)) {
+      connection = next;
     }
     return true;
   }
 
   /**
-   * Decides whether the floor is handed in at the next connect.
+   * Decides whether the caller presents its floor token when it connects.
    *
-   * @return true to hand it in
+   * @return true to present the token
    */
-  protected boolean keepsToken() {
+  protected boolean presentsToken() {
     return random.nextDouble() < TOKEN_SHARE;
   }
 
@@ -155,7 +155,7 @@
     String tag = "single-" + name + '-' + requests;
     long start = world.nowMillis();
     Set<String> own = Set.copyOf(ownAcknowledged.getOrDefault(slot, Set.of()));
-    ask(
+    query(
         "SELECT id, '" + tag + "' AS tag FROM bookings WHERE slot = '" + slot + "'",
         answer -> {
           if (!answer.isError()) {
@@ -168,14 +168,14 @@
   }
 
   private void checkOwn(Answer answer, String tag) {
-    boolean own = answer.rows().stream().allMatch(row -> row.get(1).equals(tag));
-    boolean whole = answer.tag().equals("SELECT " + answer.rows().size());
-    world.history().answerChecked(name, own && whole, () -> tag + " got " + answer);
+    boolean ownRows = answer.rows().stream().allMatch(row -> row.get(1).equals(tag));
+    boolean complete = answer.tag().equals("SELECT " + answer.rows().size());
+    world.history().answerChecked(name, ownRows && complete, () -> tag + " got " + answer);
   }
 
   private void book(String slot) {
     String id = name + '-' + requests;
-    ask(
+    query(
         insert(slot, id, "single-" + id),
         answer -> {
           ended(slot, id, answer);
@@ -183,26 +183,26 @@
         });
   }
 
-  /** A booking with a name, sent again through other proxies until its outcome is known. */
-  private final class NamedBooking {
+  /** A booking with a request key, resent through other proxies until its outcome is known. */
+  private final class KeyedBooking {
     private final String slot;
     private final String id;
     private int resends;
 
-    NamedBooking(String slot, String id) {
+    KeyedBooking(String slot, String id) {
       this.slot = slot;
       this.id = id;
     }
 
     void send() {
       String key = "name-" + id;
-      ask(
+      query(
           "SET streamcourse.request_key = '" + key + "'",
-          named -> {
-            if (named.isError()) {
-              answered(named);
+          keySet -> {
+            if (keySet.isError()) {
+              answered(keySet);
             } else {
-              ask(insert(slot, id, "single-" + key), this::answered);
+              query(insert(slot, id, "single-" + key), this::answered);
             }
           });
     }
@@ -216,7 +216,7 @@
         worker.schedule(RECONNECT_MILLIS, this::resend);
         return;
       }
-      // An earlier send may still have run, whatever became of the last.
+      // An earlier attempt may have run, whatever the outcome of the last one.
       ended(slot, id, known ? outcome : Outcome.UNKNOWN);
       afterAnswer(answer);
     }
@@ -244,14 +244,14 @@
     String first = name + '-' + requests + 'a';
     String second = name + '-' + requests + 'b';
     String tag = "tx-" + name + '-' + requests;
-    ask(
+    query(
         "BEGIN /* " + tag + " */",
         begun ->
             nextInTransaction(
                 begun,
                 List.of(insert(slot, first, tag), insert(slot, second, tag)),
                 () ->
-                    ask(
+                    query(
                         "COMMIT",
                         answer -> {
                           ended(slot, first, answer);
@@ -262,12 +262,12 @@
 
   private void nextInTransaction(Answer before, List<String> statements, Runnable commit) {
     if (before.isError()) {
-      ask("ROLLBACK", any -> afterAnswer(before));
+      query("ROLLBACK", any -> afterAnswer(before));
     } else if (statements.isEmpty()) {
       commit.run();
     } else {
       List<String> rest = statements.subList(1, statements.size());
-      ask(statements.get(0), answer -> nextInTransaction(answer, rest, commit));
+      query(statements.get(0), answer -> nextInTransaction(answer, rest, commit));
     }
   }
 
@@ -297,9 +297,9 @@
 
   private void afterAnswer(Answer answer) {
     if (answer.isError() && !answer.errorState().equals(ALREADY_RUN)) {
-      world.noteError(name, answer.errorState(), answer.errorText());
-      if (line != null && line.closed) {
-        line = null;
+      world.recordError(name, answer.errorState(), answer.errorText());
+      if (connection != null && connection.closed) {
+        connection = null;
       }
     }
     pause();
@@ -307,18 +307,18 @@
 
   // ---- waiting for answers ----
 
-  private void ask(String sql, AnswerHandler handler) {
+  private void query(String sql, AnswerHandler handler) {
     waitNumber++;
     long number = waitNumber;
     onAnswer = handler;
     onTimeout =
         () -> {
-          Line silent = line;
-          line = null;
-          if (silent != null) {
-            silent.hangUp();
+          Connection unresponsive = connection;
+          connection = null;
+          if (unresponsive != null) {
+            unresponsive.disconnect();
           }
-          handler.answered(lost("no answer in " + ANSWER_TIMEOUT_MILLIS + " ms"));
+          handler.answered(lost("no answer within " + ANSWER_TIMEOUT_MILLIS + " ms"));
         };
     worker.schedule(
         ANSWER_TIMEOUT_MILLIS,
@@ -328,10 +328,10 @@
             onTimeout.run();
           }
         });
-    if (line == null || line.closed) {
+    if (connection == null || connection.closed) {
       complete(lost("connection was closed"));
     } else {
-      line.ask(sql);
+      connection.query(sql);
     }
   }
 
@@ -347,10 +347,10 @@
     }
   }
 
-  /** A connection to one run of a proxy. */
-  private final class Line implements CallerChannel {
+  /** A connection to one incarnation of a proxy. */
+  private final class Connection implements CallerChannel {
     private final SimProxy proxy;
-    private final int proxyRun;
+    private final int proxyIncarnation;
     private ConnectionSession session;
     private List<List<String>> rows = new ArrayList<>();
     private String tag = "";
@@ -358,9 +358,9 @@
     private String errorText = "";
     private boolean closed;
 
-    Line(SimProxy proxy) {
+    Connection(SimProxy proxy) {
       this.proxy = proxy;
-      this.proxyRun = proxy.host().run();
+      this.proxyIncarnation = proxy.host().incarnation();
     }
 
     boolean open(String floorToken) {
@@ -374,11 +374,11 @@
         return false;
       }
       session.open();
-      proxy.onKilled(this::broken);
+      proxy.onKilled(this::onProxyKilled);
       return true;
     }
 
-    void ask(String sql) {
+    void query(String sql) {
       rows = new ArrayList<>();
       tag = "";
       errorState = "";
@@ -386,26 +386,26 @@
       atProxy(() -> session.receive(new WireMessage(Frontend.query(sql))));
     }
 
-    void hangUp() {
+    void disconnect() {
       closed = true;
       atProxy(session::channelClosed);
     }
 
     private void atProxy(Runnable task) {
-      world.afterCallerLatency(() -> proxy.host().execute(proxyRun, task));
+      world.afterCallerLatency(() -> proxy.host().execute(proxyIncarnation, task));
     }
 
-    /** The proxy's process died. */
-    private void broken() {
+    /** Closes the connection after the proxy's process has died. */
+    private void onProxyKilled() {
       world.afterCallerLatency(this::closedByProxy);
     }
 
     private void closedByProxy() {
       if (!closed) {
         closed = true;
-        if (line == this) {
-          boolean told = !errorState.isEmpty();
-          complete(told ? answer() : lost("connection lost"));
+        if (connection == this) {
+          boolean errorReceived = !errorState.isEmpty();
+          complete(errorReceived ? answer() : lost("connection lost"));
         }
       }
     }
@@ -414,7 +414,7 @@
       return new Answer(rows, tag, errorState, errorText);
     }
 
-    // What the proxy calls:
+    // ---- called by the proxy ----
 
     @Override
     public void send(byte[] messages) {
@@ -422,19 +422,19 @@
     }
 
     @Override
-    public void send(byte[] messages, Runnable taken) {
+    public void send(byte[] messages, Runnable whenTaken) {
       send(messages);
-      taken.run();
+      whenTaken.run();
     }
 
     @Override
     public void pauseReading() {
-      // One request at a time needs no back-pressure.
+      // Not needed: the caller has one request outstanding at a time.
     }
 
     @Override
     public void resumeReading() {
-      // One request at a time needs no back-pressure.
+      // Not needed: the caller has one request outstanding at a time.
     }
 
     @Override
@@ -470,7 +470,7 @@
         case Backend.ERROR -> error(message);
         case Backend.READY -> complete(answer());
         default -> {
-          // Columns and notices are not looked at.
+          // Row descriptions and notices are ignored.
         }
       }
     }
@@ -479,7 +479,7 @@
       errorState = Backend.sqlState(message);
       String detail = Backend.errorFields(message).getOrDefault('D', "");
       errorText = detail.isEmpty() ? Backend.errorText(message) : detail;
-      if (errorState.equals(STOPPING) && onAnswer == null) {
+      if (errorState.equals(ADMIN_SHUTDOWN) && onAnswer == null) {
         closed = true;
       }
     }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimController.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimController.java
@@ -13,7 +13,7 @@
   SimController(World world, SimHost host) {
     this.world = world;
     this.host = host;
-    this.disk = world.parts().newDisk();
+    this.disk = world.hooks().newDisk();
   }
 
   SimHost host() {
@@ -40,14 +40,14 @@
             disk,
             World.CODEC,
             AgreementSettings.DEFAULT,
-            world.parts().controlSettings(),
+            world.hooks().controlSettings(),
             new RandomAdapter(world.random()));
     world.network().attach(host.name(), node);
     node.start();
   }
 
   void loseDisk() {
-    disk = world.parts().newDisk();
+    disk = world.hooks().newDisk();
   }
 
   void recover() {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimDisk.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimDisk.java
@@ -8,11 +8,11 @@
 import org.streamcourse.process.Disk;
 
 /**
- * A disk in memory. It can be told to crash its process in the middle of a coming write: an append
- * then leaves a torn tail, a replacement leaves the old file.
+ * An in-memory disk that can crash its process during a later write: an interrupted append leaves a
+ * torn tail, an interrupted replacement leaves the old file.
  */
 public class SimDisk implements Disk {
-  /** Ends the process at a write. */
+  /** Thrown during a write to end the process. */
   static final class CrashException extends RuntimeException {
     private static final long serialVersionUID = 1;
   }
@@ -22,10 +22,10 @@
   private IntUnaryOperator tornLength = length -> 0;
 
   /**
-   * Lets the process crash at a coming write.
+   * Arranges for the process to crash during a later write.
    *
-   * @param writes number of writes that still succeed
-   * @param torn for an append, how many of the given number of bytes reach the disk
+   * @param writes number of writes that succeed before the crash; negative for no crash
+   * @param torn number of bytes of the interrupted append that reach the disk, by its length
    */
   void crashAfter(int writes, IntUnaryOperator torn) {
     writesUntilCrash = writes;
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimParts.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimHooks.java
@@ -6,34 +6,34 @@
 import org.streamcourse.process.ProxyNode;
 import org.streamcourse.version.control.ControlSettings;
 
-/** Makes the parts that tests replace by unsafe ones. */
-public class SimParts {
-  /** Disk of a controller. */
+/** Extension points through which tests replace components of the simulation by unsafe variants. */
+public class SimHooks {
+  /** Creates the disk of a controller. */
   SimDisk newDisk() {
     return new SimDisk();
   }
 
-  /** Disk of a proxy. */
+  /** Creates the disk of a proxy. */
   SimDisk newProxyDisk() {
     return new SimDisk();
   }
 
-  /** Timing of the controllers. */
+  /** Returns the settings of the controllers. */
   ControlSettings controlSettings() {
     return ControlSettings.DEFAULT;
   }
 
-  /** What travels instead of a message between two processes. */
+  /** Returns the message that is transmitted in place of one sent between two processes. */
   Object transmit(String from, String to, Object message) {
     return message;
   }
 
-  /** Tells a process that a link to or from a peer is lost. */
+  /** Notifies a process of the loss of a link to or from a peer. */
   void linkLost(PeerHandler handler, String self, String peer) {
     handler.linkLost(peer);
   }
 
-  /** What a controller gets instead of an operator's statement. */
+  /** Returns the statement that a controller receives in place of an operator's statement. */
   String operatorStatement(String sql) {
     return sql;
   }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimHost.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimHost.java
@@ -10,8 +10,8 @@
 import reactor.core.scheduler.Scheduler;
 
 /**
- * One simulated process: its placement, its clock, and whether it runs, is frozen or is dead. Tasks
- * of an earlier run of the process never run after a restart.
+ * A simulated process with its placement, its clock and its state: running, frozen or dead. Tasks
+ * of an earlier incarnation of the process never run after a restart.
  */
 public final class SimHost {
   private enum State {
@@ -26,18 +26,18 @@
   private final double clockRate;
   private final Deque<Runnable> frozenTasks = new ArrayDeque<>();
   private State state = State.DEAD;
-  private int run;
+  private int incarnation;
   private Runnable onKilled = () -> {};
   private final Consumer<RuntimeException> onFailure;
 
   /**
    * Creates a host that is not running.
    *
-   * @param name its name
+   * @param name name of the host
    * @param placement region and zone
    * @param scheduler virtual clock
-   * @param clockRate speed of its clock against the virtual one
-   * @param onFailure hears of tasks that end with an exception
+   * @param clockRate rate of the host's clock relative to the virtual clock
+   * @param onFailure receives the exception of a task that fails
    */
   public SimHost(
       String name,
@@ -68,13 +68,13 @@
     return state == State.RUNNING;
   }
 
-  /** Number of the present run; differs after each restart. */
-  int run() {
-    return run;
+  /** Returns the number of the current incarnation, which each restart increments. */
+  int incarnation() {
+    return incarnation;
   }
 
   void boot(Runnable whenKilled) {
-    run++;
+    incarnation++;
     state = State.RUNNING;
     onKilled = whenKilled;
   }
@@ -104,14 +104,15 @@
   }
 
   /**
-   * Runs a task of a given run of the process, now, later or never, as the process's state asks.
+   * Runs a task of an incarnation: at once if it is the current one and runs, after the thaw if it
+   * is frozen, never if it has ended.
    */
-  void execute(int ofRun, Runnable task) {
-    if (ofRun != run || state == State.DEAD) {
+  void execute(int ofIncarnation, Runnable task) {
+    if (ofIncarnation != incarnation || state == State.DEAD) {
       return;
     }
     if (state == State.FROZEN) {
-      frozenTasks.add(() -> execute(ofRun, task));
+      frozenTasks.add(() -> execute(ofIncarnation, task));
       return;
     }
     try {
@@ -123,16 +124,16 @@
     }
   }
 
-  /** A worker of the present run. */
+  /** Returns a worker of the current incarnation. */
   Worker worker() {
-    return new HostWorker(run);
+    return new HostWorker(incarnation);
   }
 
   private final class HostWorker implements Worker {
-    private final int ofRun;
+    private final int ofIncarnation;
 
-    HostWorker(int ofRun) {
-      this.ofRun = ofRun;
+    HostWorker(int ofIncarnation) {
+      this.ofIncarnation = ofIncarnation;
     }
 
     @Override
@@ -142,14 +143,14 @@
 
     @Override
     public void execute(Runnable task) {
-      scheduler.schedule(() -> SimHost.this.execute(ofRun, task));
+      scheduler.schedule(() -> SimHost.this.execute(ofIncarnation, task));
     }
 
     @Override
     public Disposable schedule(long delayMillis, Runnable task) {
       long micros = (long) (delayMillis * 1_000 / clockRate);
       return scheduler.schedule(
-          () -> SimHost.this.execute(ofRun, task), micros, TimeUnit.MICROSECONDS);
+          () -> SimHost.this.execute(ofIncarnation, task), micros, TimeUnit.MICROSECONDS);
     }
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimLink.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimLink.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * A link from one simulated process to another that was reset at least once. As with real links, a
- * peer is dialed when there is something to send, not again right after a dial, and what is sent
- * meanwhile waits for the dial's outcome.
+ * A link from one simulated process to another that was reset at least once. As with real links,
+ * the peer is dialed when there is a message to send, but not again within the redial interval, and
+ * messages sent during a dial wait for its outcome.
  */
 final class SimLink {
   private static final long REDIAL_MICROS = 100_000;
@@ -17,17 +17,17 @@
     DIALING
   }
 
-  /** A message that waits for the link. */
+  /** A message that waits for the link to open. */
   record Waiting(Object message, Runnable delivery) {}
 
   private final List<Waiting> waiting = new ArrayList<>();
   private State state = State.UP;
-  private int number;
+  private int resets;
   private long dialedMicros = -REDIAL_MICROS;
 
-  /** Differs after each reset, so that what was on the way then can be told. */
-  int number() {
-    return number;
+  /** Returns the number of resets so far, which identifies messages sent before the last one. */
+  int resets() {
+    return resets;
   }
 
   boolean isUp() {
@@ -51,16 +51,16 @@
     waiting.add(message);
   }
 
-  /** The dial succeeded; returns what waited. */
+  /** Opens the link after a successful dial; returns the waiting messages. */
   List<Waiting> open() {
     state = State.UP;
     return takeWaiting();
   }
 
-  /** The link breaks, or is not opened; returns what waited. */
+  /** Resets the link or its pending dial; returns the waiting messages. */
   List<Waiting> reset() {
     state = State.DOWN;
-    number++;
+    resets++;
     return takeWaiting();
   }
 
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimMember.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimMember.java
@@ -14,8 +14,9 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * A simulated database member: the same rules of terms, fencing, replication and promotion as the
- * stand-in of real processes, without an engine. Its log survives a kill, not a lost disk.
+ * A simulated database member. It follows the same rules of terms, fencing, replication and
+ * promotion as the member process of the lab, without a database engine. Its log survives a kill,
+ * but not the loss of its disk.
  */
 public class SimMember {
   private static final long PULL_MILLIS = 10;
@@ -45,10 +46,10 @@
    * Creates a member that is not running.
    *
    * @param name member's name
-   * @param host its process
-   * @param network the network
-   * @param history notes what happens
-   * @param peers members of the group by name, this one included later
+   * @param host host that the member runs on
+   * @param network network between hosts
+   * @param history records events and checks them
+   * @param peers members of the group by name; this member is added after its construction
    */
   SimMember(
       String name,
@@ -72,17 +73,17 @@
     runningStatements = 0;
     applied = log.size();
     rebuild();
-    worker.schedule(PULL_MILLIS, this::pullForever);
+    worker.schedule(PULL_MILLIS, this::pullPeriodically);
   }
 
   private void killed() {
     history.event("member " + id() + " is killed");
     List<SimMemberSession> ended = new ArrayList<>(sessions);
     sessions.clear();
-    ended.forEach(SimMemberSession::memberGone);
+    ended.forEach(SimMemberSession::closeByMember);
   }
 
-  /** Loses everything that was stored. */
+  /** Discards the stored log and term. */
   void loseDisk() {
     truncate(0);
     term = 0;
@@ -121,26 +122,27 @@
   }
 
   private TermPosition end() {
-    return log.isEmpty() ? TermPosition.ZERO : log.get(log.size() - 1).place();
+    return log.isEmpty() ? TermPosition.ZERO : log.get(log.size() - 1).logPosition();
   }
 
   MemberStatus status() {
-    TermPosition appliedPlace = applied == 0 ? TermPosition.ZERO : log.get(applied - 1).place();
+    TermPosition appliedPosition =
+        applied == 0 ? TermPosition.ZERO : log.get(applied - 1).logPosition();
     TermPosition matching = role == MemberRole.PRIMARY ? end() : matched;
-    return new MemberStatus(term, role, upstream, end(), matching, appliedPlace);
+    return new MemberStatus(term, role, upstream, end(), matching, appliedPosition);
   }
 
-  private void changed() {
+  private void notifySessions() {
     sessions.forEach(SimMemberSession::statusChanged);
   }
 
   // ---- orders ----
 
   /**
-   * Refuses older terms from now on.
+   * Enters a term as fenced; orders of older terms are refused from then on.
    *
    * @param newTerm term of the order
-   * @return whether it was carried out
+   * @return whether the order was executed
    */
   protected boolean fence(long newTerm) {
     boolean repeated = newTerm == term && role == MemberRole.FENCED;
@@ -153,10 +155,10 @@
   }
 
   /**
-   * Becomes primary of a term for which it is fenced.
+   * Promotes this member to primary of the term for which it is fenced.
    *
    * @param newTerm term of the order
-   * @return whether it was carried out
+   * @return whether the order was executed
    */
   protected boolean promote(long newTerm) {
     if (newTerm != term || role == MemberRole.REPLICA) {
@@ -167,7 +169,7 @@
     }
     role = MemberRole.PRIMARY;
     history.event(id() + " is primary of term " + term + " at " + end());
-    changed();
+    notifySessions();
     return true;
   }
 
@@ -190,12 +192,12 @@
     if (wasPrimary) {
       List.copyOf(sessions).forEach(SimMemberSession::endIfWriting);
     }
-    changed();
+    notifySessions();
   }
 
   // ---- statements ----
 
-  /** Commits bookings on the primary; null when the member is none. */
+  /** Commits bookings at the primary; returns null when this member is not primary. */
   TermPosition commit(List<SimRecord.Booking> written) {
     if (role != MemberRole.PRIMARY) {
       return null;
@@ -204,7 +206,7 @@
     while (applied < log.size()) {
       applyNext();
     }
-    changed();
+    notifySessions();
     return end();
   }
 
@@ -236,7 +238,7 @@
                     .add(booking.id()));
   }
 
-  /** Builds what reads see from the applied part of the log. */
+  /** Rebuilds the rows that reads return from the applied part of the log. */
   private void rebuild() {
     int target = applied;
     applied = 0;
@@ -248,7 +250,7 @@
 
   // ---- replication ----
 
-  private void pullForever() {
+  private void pullPeriodically() {
     SimMember primary = peers.get(upstream);
     if (role == MemberRole.REPLICA && primary != null) {
       long atTerm = term;
@@ -256,16 +258,18 @@
       network.deliver(
           host.name(),
           primary.host.name(),
-          () -> primary.host.execute(primary.host.run(), () -> primary.serve(this, atTerm, ends)));
+          () ->
+              primary.host.execute(
+                  primary.host.incarnation(), () -> primary.serve(this, atTerm, ends)));
     }
-    worker.schedule(PULL_MILLIS, this::pullForever);
+    worker.schedule(PULL_MILLIS, this::pullPeriodically);
   }
 
   /**
-   * Tells whether this member, as primary, may send its log for a term.
+   * Returns whether this member may send its log to a replica of a term.
    *
    * @param atTerm term of the replica
-   * @return true when it is the primary of that term
+   * @return true when this member is the primary of that term
    */
   private boolean mayServe(long atTerm) {
     return role == MemberRole.PRIMARY && atTerm == term;
@@ -282,19 +286,21 @@
             .max()
             .orElse(0);
     List<SimRecord> records = List.copyOf(log.subList((int) common, log.size()));
-    int run = replica.host.run();
+    int incarnation = replica.host.incarnation();
     network.deliver(
         host.name(),
         replica.host.name(),
-        () -> replica.host.execute(run, () -> replica.receive(name, atTerm, common, records)));
+        () ->
+            replica.host.execute(
+                incarnation, () -> replica.receive(name, atTerm, common, records)));
   }
 
   /**
-   * Tells whether records of a primary may be taken.
+   * Returns whether records of a primary may be received.
    *
-   * @param primary primary's name
-   * @param atTerm its term
-   * @return true while this member follows it in that term
+   * @param primary name of the sender
+   * @param atTerm term of the sender
+   * @return true while this member follows the sender in that term
    */
   private boolean mayReceive(String primary, long atTerm) {
     return role == MemberRole.REPLICA && upstream.equals(primary) && term == atTerm;
@@ -314,14 +320,14 @@
     int known = Math.min(records.size(), log.size() - (int) common);
     records.subList(known, records.size()).forEach(this::append);
     matched = end();
-    changed();
+    notifySessions();
     int target = log.size();
     if (target > applied) {
       worker.schedule(lagMillis, () -> applyUpTo(target));
     }
   }
 
-  /** Whether what lies after the common end is not the primary's; its own records never diverge. */
+  /** Whether the log after the common end differs from the primary's log of that term. */
   private boolean diverges(long atTerm, int common, List<SimRecord> records) {
     List<SimRecord> tail = log.subList(common, log.size());
     int overlap = Math.min(tail.size(), records.size());
@@ -334,12 +340,12 @@
     while (applied < Math.min(target, log.size()) && role != MemberRole.FENCED) {
       applyNext();
     }
-    changed();
+    notifySessions();
   }
 
   // ---- sessions ----
 
-  /** Takes one of the connections; the limit is checked by the history, not enforced. */
+  /** Opens a session; the history checks the connection limit, which is not enforced here. */
   void opened(SimMemberSession session) {
     sessions.add(session);
     history.connectionsAt(id(), sessions.size(), World.CONNECTION_LIMIT);
@@ -350,10 +356,10 @@
   }
 
   /**
-   * Tells whether a request's name is free: neither committed nor claimed by an open transaction.
+   * Returns whether a request key is free: neither committed nor claimed by an open transaction.
    *
-   * @param claim row that holds the name
-   * @return SQLSTATE of the refusal, or empty when it is free
+   * @param claim row that holds the request key
+   * @return SQLSTATE of the refusal, or an empty string when the key is free
    */
   protected String refusalOfClaim(SimRecord.Booking claim) {
     if (bookings.getOrDefault(claim.slot(), List.of()).contains(claim.id())) {
@@ -363,7 +369,7 @@
   }
 
   /**
-   * Tells the transaction status that a session reports.
+   * Returns the transaction status that a session reports.
    *
    * @param inTransaction whether a transaction is open
    * @return status of the wire protocol
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimMemberConnector.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimMemberConnector.java
@@ -31,15 +31,15 @@
     return Mono.create(sink -> new Attempt(world.members().get(member.name()), sink).start());
   }
 
-  /** One connect; ends with a session, a refusal or a timeout, whichever comes first. */
+  /** One attempt to connect, which ends with a session, a refusal or a timeout. */
   private final class Attempt {
     private final SimMember member;
     private final MonoSink<MemberSession> sink;
     private final SimHost host = gateway.get();
-    private final int gatewayRun = host.run();
+    private final int gatewayIncarnation = host.incarnation();
     private boolean ended;
 
-    /** Known at the member only: the gateway has closed the connection that was being opened. */
+    /** Whether the gateway has closed the connection being opened; known at the member only. */
     private boolean closedByGateway;
 
     Attempt(SimMember member, MonoSink<MemberSession> sink) {
@@ -48,22 +48,24 @@
     }
 
     void start() {
-      host.worker().schedule(TIMEOUT_MILLIS, this::giveUp);
+      host.worker().schedule(TIMEOUT_MILLIS, this::timeOut);
       if (!member.host().isUp()) {
         deliver(member.host().name(), host.name(), () -> fail("refused"));
         return;
       }
-      int memberRun = member.host().run();
+      int memberIncarnation = member.host().incarnation();
       deliver(
-          host.name(), member.host().name(), () -> member.host().execute(memberRun, this::accept));
+          host.name(),
+          member.host().name(),
+          () -> member.host().execute(memberIncarnation, this::accept));
     }
 
     private void accept() {
       member.worker().schedule(CONNECT_MILLIS, this::accepted);
     }
 
-    /** Closes what is being opened, as a TCP client does, so that the member does not keep it. */
-    private void giveUp() {
+    /** Closes the connection being opened, as a TCP client does, so that the member drops it. */
+    private void timeOut() {
       if (!ended) {
         deliver(host.name(), member.host().name(), () -> closedByGateway = true);
         fail("timeout");
@@ -80,7 +82,7 @@
       deliver(
           member.host().name(),
           host.name(),
-          () -> host.execute(gatewayRun, () -> succeed(session)));
+          () -> host.execute(gatewayIncarnation, () -> succeed(session)));
     }
 
     private void succeed(SimMemberSession session) {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimMemberSession.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimMemberSession.java
@@ -16,8 +16,8 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * A connection between a gateway and a simulated member; both ends. It speaks the real messages of
- * the wire protocol, with simple queries only, and a handful of statements.
+ * Both ends of a connection between a gateway and a simulated member. It exchanges messages of the
+ * PostgreSQL wire protocol, limited to simple queries and a few statements.
  */
 final class SimMemberSession implements MemberSession {
   private static final long STATEMENT_MILLIS = 2;
@@ -36,29 +36,29 @@
 
   private final SimMember member;
   private final SimHost gateway;
-  private final int gatewayRun;
-  private final int memberRun;
+  private final int gatewayIncarnation;
+  private final int memberIncarnation;
   private final Deque<byte[]> queue = new ArrayDeque<>();
   private final List<SimRecord.Booking> written = new ArrayList<>();
   private Listener listener;
   private boolean running;
-  private boolean listens;
+  private boolean subscribed;
   private boolean inTransaction;
   private String transactionTag = "";
 
-  /** Known at the member: it takes no more statements. */
+  /** Whether the member accepts no more statements; known at the member only. */
   private boolean ended;
 
-  /** Known at the gateway: the member has ended the connection. */
-  private boolean gone;
+  /** Whether the member has closed the connection; known at the gateway only. */
+  private boolean closed;
 
-  private Runnable whenGone = () -> {};
+  private Runnable whenClosed = () -> {};
 
   SimMemberSession(SimMember member, SimHost gateway) {
     this.member = member;
     this.gateway = gateway;
-    this.gatewayRun = gateway.run();
-    this.memberRun = member.host().run();
+    this.gatewayIncarnation = gateway.incarnation();
+    this.memberIncarnation = member.host().incarnation();
   }
 
   // ---- the gateway's end ----
@@ -75,26 +75,26 @@
 
   @Override
   public void pauseReading() {
-    // Answers are small.
+    // Answers are too small for back-pressure.
   }
 
   @Override
   public void resumeReading() {
-    // Answers are small.
+    // Answers are too small for back-pressure.
   }
 
   @Override
   public void cancel() {
-    // Statements are short.
+    // Statements are too short to be worth cancelling.
   }
 
   @Override
   public void end(Runnable whenEnded) {
     listener = null;
-    if (gone) {
+    if (closed) {
       whenEnded.run();
     } else {
-      whenGone = whenEnded;
+      whenClosed = whenEnded;
       atMember(this::endAtMember);
     }
   }
@@ -104,10 +104,10 @@
     end(() -> {});
   }
 
-  private void goneAtGateway() {
-    gone = true;
-    Runnable waiting = whenGone;
-    whenGone = () -> {};
+  private void onClosedByMember() {
+    closed = true;
+    Runnable waiting = whenClosed;
+    whenClosed = () -> {};
     waiting.run();
   }
 
@@ -115,27 +115,34 @@
     member
         .network()
         .deliver(
-            gateway.name(), member.host().name(), () -> member.host().execute(memberRun, task));
+            gateway.name(),
+            member.host().name(),
+            () -> member.host().execute(memberIncarnation, task));
   }
 
   private void atGateway(Runnable task) {
     member
         .network()
-        .deliver(member.host().name(), gateway.name(), () -> gateway.execute(gatewayRun, task));
+        .deliver(
+            member.host().name(), gateway.name(), () -> gateway.execute(gatewayIncarnation, task));
   }
 
   // ---- the member's end ----
 
-  /** The gateway's process has died: its connections end, and what is open is rolled back. */
-  void gatewayGone() {
+  /**
+   * Closes the connection, and rolls back its transaction, after the gateway's process has died.
+   */
+  void gatewayDied() {
     atMember(this::endAtMember);
   }
 
-  /** Takes no more statements; one that runs still ends, as a server notices only then. */
+  /**
+   * Accepts no more statements; a running one completes before the member closes the connection.
+   */
   private void endAtMember() {
     dropWork();
     if (!running) {
-      left();
+      closeAtMember();
     }
   }
 
@@ -145,18 +152,18 @@
     queue.clear();
   }
 
-  private void left() {
+  private void closeAtMember() {
     member.closed(this);
-    atGateway(this::goneAtGateway);
+    atGateway(this::onClosedByMember);
   }
 
-  /** The member's process has died or the member ends the connection. */
-  void memberGone() {
+  /** Closes the connection because the member's process has died or the member ends it. */
+  void closeByMember() {
     dropWork();
     atGateway(
         () -> {
           Listener last = listener;
-          goneAtGateway();
+          onClosedByMember();
           if (last != null) {
             last.onClosed("connection reset");
           }
@@ -166,12 +173,12 @@
   void endIfWriting() {
     if (!written.isEmpty() || inTransaction) {
       member.closed(this);
-      memberGone();
+      closeByMember();
     }
   }
 
   void statusChanged() {
-    if (listens) {
+    if (subscribed) {
       answer(
           List.of(
               WireBuilder.message(Backend.NOTIFICATION)
@@ -215,19 +222,19 @@
       return;
     }
     member.statementStarted();
-    int startedIn = member.host().run();
+    int startedIncarnation = member.host().incarnation();
     Worker worker = member.worker();
     worker.schedule(
         STATEMENT_MILLIS,
         () -> {
-          if (startedIn == member.host().run()) {
+          if (startedIncarnation == member.host().incarnation()) {
             member.statementEnded();
           }
           if (!ended) {
             finish(execute(sql));
-          } else if (startedIn == member.host().run()) {
+          } else if (startedIncarnation == member.host().incarnation()) {
             running = false;
-            left();
+            closeAtMember();
           }
         });
   }
@@ -277,7 +284,7 @@
     return switch (sql) {
       case MemberStatements.STATUS -> statusRow();
       case MemberStatements.LISTEN -> {
-        listens = true;
+        subscribed = true;
         yield messages(Backend.commandComplete("LISTEN"));
       }
       case "COMMIT" -> commit();
@@ -307,19 +314,20 @@
     return done ? statusRow() : error("55000", "refused in this role or term");
   }
 
-  private void noteStatement(String tag) {
-    boolean fits = inTransaction ? tag.equals(transactionTag) : tag.startsWith("single");
+  private void checkStatement(String tag) {
+    boolean expected = inTransaction ? tag.equals(transactionTag) : tag.startsWith("single");
     member
         .history()
         .statementOnConnection(
-            fits, tag + " on a connection of " + (inTransaction ? transactionTag : "no one"));
+            expected,
+            tag + " on a connection of " + (inTransaction ? transactionTag : "no transaction"));
     if (!inTransaction) {
       member.history().unitStarted(member.id(), DRAIN_GRACE_MILLIS);
     }
   }
 
   private List<byte[]> insert(String slot, String id, String tag) {
-    noteStatement(tag);
+    checkStatement(tag);
     if (!member.isPrimary()) {
       return error(MemberStatements.READ_ONLY, "cannot write: not the primary");
     }
@@ -340,7 +348,7 @@
     if (!member.isPrimary()) {
       return error(MemberStatements.READ_ONLY, "cannot write: not the primary");
     }
-    SimRecord.Booking row = new SimRecord.Booking(SimRecord.NAMES, key);
+    SimRecord.Booking row = new SimRecord.Booking(SimRecord.REQUEST_KEYS, key);
     String refusal = member.refusalOfClaim(row);
     if (!refusal.isEmpty()) {
       return error(refusal, "name " + key + " is taken");
@@ -374,7 +382,7 @@
   }
 
   private List<byte[]> select(String slot, String tag) {
-    noteStatement(tag);
+    checkStatement(tag);
     List<String> ids = member.read(slot);
     List<byte[]> answers = messages(Backend.textColumns(List.of("id", "tag")));
     for (String id : ids) {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimNetwork.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimNetwork.java
@@ -16,9 +16,10 @@
 import reactor.core.scheduler.Scheduler;
 
 /**
- * The simulated network. Stream messages keep their order, as on TCP; messages of the control plane
- * may in addition be lost, doubled and overtaken. A cut is silent and has a direction: what is sent
- * into it waits until the cut ends, or is lost together with the link.
+ * The simulated network. Stream messages keep their order, as on TCP; control messages may also be
+ * lost, duplicated and reordered. A cut applies to one direction and resets no connection: ordered
+ * messages sent during a cut are held until it ends, or are lost when the link is reset; other
+ * messages are dropped.
  */
 final class SimNetwork {
   /** Latencies and faults of the network. */
@@ -26,27 +27,27 @@
 
   private record Pair(String from, String to) {}
 
-  /** What waits in a cut. */
-  private record Held(Pair pair, Runnable delivery) {}
+  /** A delivery that is held until a cut ends. */
+  private record HeldDelivery(Pair pair, Runnable delivery) {}
 
   private static final long LOCAL_MICROS = 50;
   private static final int JITTER_PERCENT = 30;
   private static final long REORDER_MICROS = 30_000;
 
-  /** Longest time from what a process's network sees until the process hears of it. */
-  private static final long LONGEST_WORD_MICROS = 20_000;
+  /** Longest delay between an event on a link and its notification to the process. */
+  private static final long MAX_NOTIFICATION_MICROS = 20_000;
 
   private final Scheduler scheduler;
   private final UniformRandomProvider random;
   private final MessageCodec codec;
   private final Conditions conditions;
   private final FaultCounter faults;
-  private final SimParts parts;
+  private final SimHooks hooks;
   private final Map<String, SimHost> hosts = new HashMap<>();
   private final Map<String, PeerHandler> handlers = new HashMap<>();
   private final Map<Pair, Long> lastArrival = new HashMap<>();
   private final Set<Pair> cuts = new HashSet<>();
-  private final List<Held> held = new ArrayList<>();
+  private final List<HeldDelivery> held = new ArrayList<>();
   private final Map<Pair, SimLink> resetLinks = new HashMap<>();
   private boolean faulty;
 
@@ -56,13 +57,13 @@
       MessageCodec codec,
       Conditions conditions,
       FaultCounter faults,
-      SimParts parts) {
+      SimHooks hooks) {
     this.scheduler = scheduler;
     this.random = random;
     this.codec = codec;
     this.conditions = conditions;
     this.faults = faults;
-    this.parts = parts;
+    this.hooks = hooks;
   }
 
   void addHost(SimHost host) {
@@ -73,7 +74,7 @@
     handlers.put(host, handler);
   }
 
-  /** Switches loss and duplication of control messages. */
+  /** Switches loss, duplication and reordering of control messages on or off. */
   void setFaulty(boolean value) {
     faulty = value;
   }
@@ -84,10 +85,10 @@
     cuts.add(new Pair(from, to));
   }
 
-  /** Ends all cuts; what waited arrives, unless the link is declared broken. */
+  /** Ends all cuts and schedules the held deliveries. */
   void healAll() {
     cuts.clear();
-    List<Held> due = new ArrayList<>(held);
+    List<HeldDelivery> due = new ArrayList<>(held);
     held.clear();
     due.forEach(each -> schedule(each.pair(), each.delivery(), true));
   }
@@ -107,10 +108,10 @@
     if (receiver == null || !sender.isUp()) {
       return;
     }
-    byte[] bytes = codec.encode(parts.transmit(sender.name(), peer, message));
+    byte[] bytes = codec.encode(hooks.transmit(sender.name(), peer, message));
     SimLink link = resetLinks.get(new Pair(sender.name(), peer));
     if (link != null && !link.isUp()) {
-      sendOnceOpen(link, sender, receiver, bytes);
+      sendAfterDial(link, sender, receiver, bytes);
       return;
     }
     boolean control = message instanceof ControlMessage;
@@ -118,8 +119,9 @@
       faults.count("message-lost");
       return;
     }
-    int run = receiver.run();
-    Runnable delivery = () -> receiver.execute(run, () -> receive(sender.name(), peer, bytes));
+    int incarnation = receiver.incarnation();
+    Runnable delivery =
+        () -> receiver.execute(incarnation, () -> receive(sender.name(), peer, bytes));
     Pair pair = new Pair(sender.name(), peer);
     schedule(pair, delivery, !control);
     if (control && faulty && random.nextDouble() < conditions.duplication()) {
@@ -141,9 +143,9 @@
   // ---- links that are reset ----
 
   /**
-   * Resets the link from one living process to another, or the dial under way: what is on it is
-   * lost. Both processes hear of it, each by a thread of its network that may have to wait for a
-   * processor, so what they hear is in no certain order with what else they hear and send.
+   * Resets the link from one running process to another, or its pending dial; messages in transit
+   * are lost. Each process is task after a random delay, as by a network thread that waits for a
+   * processor, so the notification is not ordered with other messages received or sent.
    */
   void resetLink(String from, String to) {
     SimHost sender = hosts.get(from);
@@ -153,18 +155,18 @@
     boolean wasDialing = link.isDialing();
     List<SimLink.Waiting> dropped = link.reset();
     if (wasUp) {
-      tell(sender, handler -> parts.linkLost(handler, from, to));
-      tell(receiver, handler -> parts.linkLost(handler, to, from));
+      notifyHandler(sender, handler -> hooks.linkLost(handler, from, to));
+      notifyHandler(receiver, handler -> hooks.linkLost(handler, to, from));
     } else if (wasDialing) {
-      tellDropped(sender, to, dropped);
+      notifyUndelivered(sender, to, dropped);
     }
   }
 
-  private void sendOnceOpen(SimLink link, SimHost sender, SimHost receiver, byte[] bytes) {
-    int run = receiver.run();
+  private void sendAfterDial(SimLink link, SimHost sender, SimHost receiver, byte[] bytes) {
+    int incarnation = receiver.incarnation();
     Object message = codec.decode(bytes);
     Runnable delivery =
-        () -> receiver.execute(run, () -> receive(sender.name(), receiver.name(), bytes));
+        () -> receiver.execute(incarnation, () -> receive(sender.name(), receiver.name(), bytes));
     SimLink.Waiting waiting = new SimLink.Waiting(message, delivery);
     if (link.isDialing()) {
       link.add(waiting);
@@ -172,64 +174,68 @@
     }
     long now = scheduler.now(TimeUnit.MICROSECONDS);
     if (!receiver.isUp() || !link.mayDial(now)) {
-      tellDropped(sender, receiver.name(), List.of(waiting));
+      notifyUndelivered(sender, receiver.name(), List.of(waiting));
       return;
     }
     link.add(waiting);
     link.dial(now);
     Pair pair = new Pair(sender.name(), receiver.name());
-    int number = link.number();
+    int resetsBefore = link.resets();
     long roundTrip = 2 * latencyMicros(pair);
-    scheduler.schedule(() -> opened(link, number, pair), roundTrip, TimeUnit.MICROSECONDS);
+    scheduler.schedule(() -> opened(link, resetsBefore, pair), roundTrip, TimeUnit.MICROSECONDS);
   }
 
-  private void opened(SimLink link, int number, Pair pair) {
-    if (link.number() == number) {
+  private void opened(SimLink link, int resetsBefore, Pair pair) {
+    if (link.resets() == resetsBefore) {
       link.open().forEach(each -> schedule(pair, each.delivery(), true));
     }
   }
 
-  private void tellDropped(SimHost sender, String peer, List<SimLink.Waiting> dropped) {
+  private void notifyUndelivered(SimHost sender, String peer, List<SimLink.Waiting> dropped) {
     if (!dropped.isEmpty()) {
       List<Object> messages = dropped.stream().map(SimLink.Waiting::message).toList();
-      tell(sender, handler -> handler.undelivered(peer, messages));
+      notifyHandler(sender, handler -> handler.undelivered(peer, messages));
     }
   }
 
-  private void tell(SimHost hearer, Consumer<PeerHandler> word) {
-    int run = hearer.run();
-    Runnable told = () -> hearer.execute(run, () -> word.accept(handlers.get(hearer.name())));
-    scheduler.schedule(told, random.nextLong(LONGEST_WORD_MICROS), TimeUnit.MICROSECONDS);
+  private void notifyHandler(SimHost receiver, Consumer<PeerHandler> notification) {
+    int incarnation = receiver.incarnation();
+    Runnable task =
+        () ->
+            receiver.execute(incarnation, () -> notification.accept(handlers.get(receiver.name())));
+    scheduler.schedule(task, random.nextLong(MAX_NOTIFICATION_MICROS), TimeUnit.MICROSECONDS);
   }
 
-  private int numberOf(Pair pair) {
+  private int resetsOf(Pair pair) {
     SimLink link = resetLinks.get(pair);
-    return link == null ? 0 : link.number();
+    return link == null ? 0 : link.resets();
   }
 
-  /** Tells a sender that the receiver's machine refuses links. */
+  /** Reports a message as undelivered because the receiver's host refuses connections. */
   private void refuse(SimHost sender, SimHost receiver, Object message) {
-    int run = sender.run();
+    int incarnation = sender.incarnation();
     List<Object> messages = List.of(message);
-    Runnable word = () -> handlers.get(sender.name()).undelivered(receiver.name(), messages);
-    Runnable told = () -> sender.execute(run, word);
-    schedule(new Pair(receiver.name(), sender.name()), told, true);
+    Runnable notification =
+        () -> handlers.get(sender.name()).undelivered(receiver.name(), messages);
+    Runnable task = () -> sender.execute(incarnation, notification);
+    schedule(new Pair(receiver.name(), sender.name()), task, true);
   }
 
-  /** Tells all peers of a process that died that their links broke. */
+  /** Notifies all peers of a dead process of the loss of their links to it. */
   void linksLost(String dead) {
     for (SimHost peer : hosts.values()) {
       PeerHandler handler = handlers.get(peer.name());
       if (peer.name().equals(dead) || handler == null || !peer.isUp()) {
         continue;
       }
-      int run = peer.run();
-      Runnable told = () -> peer.execute(run, () -> parts.linkLost(handler, peer.name(), dead));
-      schedule(new Pair(dead, peer.name()), told, true);
+      int incarnation = peer.incarnation();
+      Runnable task =
+          () -> peer.execute(incarnation, () -> hooks.linkLost(handler, peer.name(), dead));
+      schedule(new Pair(dead, peer.name()), task, true);
     }
   }
 
-  /** Runs a delivery at the receiver after the latency; for traffic that is no peer message. */
+  /** Schedules a delivery of traffic other than peer messages after the network latency. */
   void deliver(String from, String to, Runnable delivery) {
     schedule(new Pair(from, to), delivery, true);
   }
@@ -238,7 +244,7 @@
     if (cuts.contains(pair)) {
       faults.count("message-held");
       if (inOrder) {
-        held.add(new Held(pair, delivery));
+        held.add(new HeldDelivery(pair, delivery));
       }
       return;
     }
@@ -250,10 +256,10 @@
     } else if (faulty) {
       arrival += random.nextLong(REORDER_MICROS);
     }
-    int number = numberOf(pair);
+    int resetsBefore = resetsOf(pair);
     Runnable unlessReset =
         () -> {
-          if (numberOf(pair) == number) {
+          if (resetsOf(pair) == resetsBefore) {
             delivery.run();
           }
         };
@@ -261,12 +267,12 @@
         () -> arrive(pair, unlessReset, inOrder), arrival - now, TimeUnit.MICROSECONDS);
   }
 
-  /** A cut that began while the message travelled stops it too. */
+  /** Completes a delivery, unless a cut has begun since the message was sent. */
   private void arrive(Pair pair, Runnable delivery, boolean inOrder) {
     if (!cuts.contains(pair)) {
       delivery.run();
     } else if (inOrder) {
-      held.add(new Held(pair, delivery));
+      held.add(new HeldDelivery(pair, delivery));
     }
   }
 
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimOperator.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimOperator.java
@@ -15,14 +15,14 @@
 import org.streamcourse.version.image.TenantId;
 import org.streamcourse.version.image.TenantRule;
 
-/** A simulated operator: sends routing documents and reads them back. */
+/** A simulated operator that replaces routing documents and reads them back. */
 final class SimOperator {
   private static final long RESEND_MILLIS = 1_000;
 
-  /** More tenants than links that a proxy has to a member in a fleet with few connections. */
+  /** More tenants than a proxy has member links to a member in a fleet with few connections. */
   private static final int TENANTS = 5;
 
-  /** Time for which both keys of a tenant count. */
+  /** Time during which both the former and the new key of a tenant are valid. */
   private static final long KEY_OVERLAP_MILLIS = 2_000;
 
   private final ServiceWorld world;
@@ -43,18 +43,18 @@
     return "key-" + keyNumbers;
   }
 
-  /** The tenants in the order of their names. */
+  /** Returns the tenants ordered by name. */
   List<TenantId> tenants() {
     return List.copyOf(keys.keySet());
   }
 
-  /** The key that a tenant's callers show now. */
+  /** Returns the key with which a tenant's callers connect now. */
   String keyOf(TenantId tenant) {
     List<String> all = keys.get(tenant);
     return all.get(all.size() - 1);
   }
 
-  /** Gives a tenant another key, and takes the former one away with the next document. */
+  /** Adds a new key for a tenant, then revokes the former key with a later document. */
   void changeKey(TenantId tenant) {
     String former = keyOf(tenant);
     keys.put(tenant, List.of(former, newKey()));
@@ -63,7 +63,7 @@
         KEY_OVERLAP_MILLIS,
         () -> {
           keys.put(tenant, List.of(keyOf(tenant)));
-          replaceDocument(() -> world.checks().keyTakenAway(former));
+          replaceDocument(() -> world.checks().keyRevoked(former));
         });
   }
 
@@ -71,7 +71,7 @@
     return "db-" + consistency.name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  /** Sends the next version of the document, again and again until it is acknowledged. */
+  /** Sends the next version of the document repeatedly until it is acknowledged. */
   void replaceDocument() {
     replaceDocument(() -> {});
   }
@@ -116,18 +116,18 @@
   private List<TenantRule> tenantRules() {
     List<TenantRule> rules = new ArrayList<>();
     keys.forEach(
-        (tenant, held) ->
+        (tenant, tenantKeys) ->
             rules.add(
                 new TenantRule(
                     tenant,
-                    held.stream().map(SimOperator::digest).toList(),
+                    tenantKeys.stream().map(SimOperator::digest).toList(),
                     1,
                     rates.getOrDefault(tenant, TenantRule.UNLIMITED),
                     rates.getOrDefault(tenant, 0.0))));
     return rules;
   }
 
-  /** Lowers a tenant's limit far below what its callers do. */
+  /** Lowers a tenant's limit with the next document. */
   void lowerLimit(TenantId tenant, double rate) {
     rates.put(tenant, rate);
     replaceDocument(() -> world.checks().limitLowered(tenant, rate));
@@ -157,7 +157,7 @@
     world.after(RESEND_MILLIS, () -> sendDocument(document, acknowledged, done, turn + 1));
   }
 
-  /** Reads the document at a controller. */
+  /** Reads the document at a random controller. */
   void fetchDocument() {
     long sentMillis = world.nowMillis();
     String controller = World.CONTROLLERS.get(world.random().nextInt(World.CONTROLLERS.size()));
@@ -173,7 +173,9 @@
         });
   }
 
-  /** The operator's calls travel as if from the first proxy's machine, whose links may be cut. */
+  /**
+   * Returns the host from which the operator's calls are sent: the first proxy's, as it may be cut.
+   */
   private static String operatorHost() {
     return "p1";
   }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimProxy.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimProxy.java
@@ -13,7 +13,7 @@
 
 /** A simulated proxy process. */
 final class SimProxy {
-  private static final long RESTART_MILLIS = 500;
+  private static final long RESTART_DELAY_MILLIS = 500;
   private static final PlannedStop.Limits STOP_LIMITS =
       new PlannedStop.Limits(30_000, 35_000, ControlSettings.DEFAULT.confirmationMillis());
   private final World world;
@@ -28,7 +28,7 @@
   SimProxy(World world, SimHost host) {
     this.world = world;
     this.host = host;
-    this.disk = world.parts().newProxyDisk();
+    this.disk = world.hooks().newProxyDisk();
   }
 
   SimHost host() {
@@ -52,7 +52,7 @@
     stopping = false;
     Worker worker = host.worker();
     NodeImage self =
-        new NodeImage(host.name(), host.run(), "127.0.0.1", 1, host.placement(), false);
+        new NodeImage(host.name(), host.incarnation(), "127.0.0.1", 1, host.placement(), false);
     node =
         new ProxyNode(
             self,
@@ -63,7 +63,7 @@
             World.CODEC,
             World.CONTROLLERS,
             new SimMemberConnector(world, this::host, memberSessions),
-            world.parts().proxySettings(),
+            world.hooks().proxySettings(),
             new FleetKey("simulated"),
             new RandomAdapter(world.random()));
     world.network().attach(host.name(), node);
@@ -73,7 +73,7 @@
   private void killed() {
     world.history().event("proxy " + host.name() + " is killed");
     world.network().linksLost(host.name());
-    memberSessions.forEach(SimMemberSession::gatewayGone);
+    memberSessions.forEach(SimMemberSession::gatewayDied);
     memberSessions.clear();
     sessions.clear();
     List<Runnable> due = List.copyOf(whenKilled);
@@ -88,10 +88,10 @@
     return session;
   }
 
-  /** Stops in the steps of the proxy's process on SIGTERM, then starts again. */
+  /** Runs the planned stop of a proxy that receives SIGTERM, then restarts the proxy. */
   void restartPlanned() {
     stopping = true;
-    world.history().event("proxy " + host.name() + " is told to stop");
+    world.history().event("proxy " + host.name() + " begins a planned stop");
     sessions.forEach(ConnectionSession::drain);
     PlannedStop stop =
         new PlannedStop(
@@ -117,7 +117,7 @@
 
   private void restart() {
     world.history().event("proxy " + host.name() + " has stopped");
-    world.after(RESTART_MILLIS, this::recover);
+    world.after(RESTART_DELAY_MILLIS, this::recover);
     host.kill();
   }
 
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimRecord.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimRecord.java
@@ -5,13 +5,13 @@
 
 /** One committed transaction in a simulated group's log. */
 record SimRecord(long term, long position, List<Booking> bookings) {
-  /** Slot of the rows that hold names of requests. */
-  static final String NAMES = "request names";
+  /** Slot under which claimed request keys are stored. */
+  static final String REQUEST_KEYS = "request names";
 
-  /** One booking: the slot and the id that its caller gave it. */
+  /** One booking, under the id that its caller chose. */
   record Booking(String slot, String id) {}
 
-  TermPosition place() {
+  TermPosition logPosition() {
     return new TermPosition(term, position);
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceCaller.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceCaller.java
@@ -20,10 +20,10 @@
 import org.streamcourse.version.image.RouteConsistency;
 import org.streamcourse.version.image.TenantId;
 
-/** A simulated caller: opens sessions at proxies and runs operations, one after the other. */
+/** A simulated caller that opens sessions at proxies and runs operations one after the other. */
 final class SimServiceCaller {
-  private static final long OPERATION_MILLIS = 4_000;
-  private static final long MOST_PAUSE_MILLIS = 60;
+  private static final long ANSWER_TIMEOUT_MILLIS = 4_000;
+  private static final long MAX_PAUSE_MILLIS = 60;
   private static final long TRANSACTION_PAUSE_MILLIS = 30;
   private static final int OPERATIONS_PER_SESSION = 12;
   private static final double TRANSACTION_SHARE = 0.3;
@@ -41,7 +41,7 @@
   private final Deque<Statement> script = new ArrayDeque<>();
   private final List<String> transactionWrites = new ArrayList<>();
   private SimServiceProxy proxy;
-  private int proxyRun;
+  private int proxyIncarnation;
   private ClientSession session;
   private Channel channel;
   private long sessionNumber;
@@ -70,18 +70,18 @@
   }
 
   void start() {
-    world.after(random.nextLong(MOST_PAUSE_MILLIS), this::connect);
+    world.after(random.nextLong(MAX_PAUSE_MILLIS), this::connect);
   }
 
   void stop() {
     stopped = true;
   }
 
-  /** One connection of the caller; answers of a former one are not heard. */
+  /** One connection of the caller; answers on an earlier connection are ignored. */
   private final class Channel implements ClientChannel {
     private boolean open = true;
 
-    private void hear(Runnable task) {
+    private void ifCurrent(Runnable task) {
       world.afterCallerLatency(
           () -> {
             if (open && channel == this) {
@@ -92,32 +92,32 @@
 
     @Override
     public void welcome() {
-      hear(SimServiceCaller.this::begin);
+      ifCurrent(SimServiceCaller.this::begin);
     }
 
     @Override
     public void answer(Answer answer) {
-      hear(() -> answered(answer));
+      ifCurrent(() -> answered(answer));
     }
 
     @Override
     public void refuse(Answer error) {
-      hear(SimServiceCaller.this::disconnected);
+      ifCurrent(SimServiceCaller.this::disconnected);
     }
 
     @Override
     public void close() {
-      hear(SimServiceCaller.this::disconnected);
+      ifCurrent(SimServiceCaller.this::disconnected);
     }
   }
 
-  /** Runs a task later, unless the session has ended meanwhile. */
-  private void later(long delayMillis, Runnable task) {
-    Channel within = channel;
+  /** Runs a task after a delay, unless the connection has ended meanwhile. */
+  private void afterDelay(long delayMillis, Runnable task) {
+    Channel expected = channel;
     world.after(
         delayMillis,
         () -> {
-          if (channel == within) {
+          if (channel == expected) {
             task.run();
           }
         });
@@ -129,7 +129,7 @@
     }
     proxy = world.readyProxy(random);
     if (proxy == null) {
-      world.after(MOST_PAUSE_MILLIS, this::connect);
+      world.after(MAX_PAUSE_MILLIS, this::connect);
       return;
     }
     sessionNumber = world.nextSession();
@@ -138,48 +138,48 @@
     transaction = "";
     channel = new Channel();
     Channel opened = channel;
-    SimServiceProxy at = proxy;
-    proxyRun = at.host().run();
-    int run = proxyRun;
+    SimServiceProxy target = proxy;
+    proxyIncarnation = target.host().incarnation();
+    int incarnation = proxyIncarnation;
     world.afterCallerLatency(
         () ->
-            at.execute(
-                run,
+            target.execute(
+                incarnation,
                 () -> {
-                  ClientSession created = at.open(opened);
+                  ClientSession created = target.open(opened);
                   if (channel == opened) {
                     session = created;
                   }
                 }));
     key = world.operator().keyOf(tenant);
     send(new ClientMessage.Start(SimOperator.databaseOf(consistency), SimOperator.digest(key)));
-    expect("welcome");
+    startTimeout("welcome");
   }
 
   private void send(ClientMessage message) {
-    Channel through = channel;
-    SimServiceProxy at = proxy;
-    int run = proxyRun;
+    Channel expected = channel;
+    SimServiceProxy target = proxy;
+    int incarnation = proxyIncarnation;
     world.afterCallerLatency(
         () -> {
-          if (channel == through && session != null) {
+          if (channel == expected && session != null) {
             ClientSession receiver = session;
-            at.execute(run, () -> receiver.receive(message));
+            target.execute(incarnation, () -> receiver.receive(message));
           }
         });
   }
 
-  /** Gives up a connection that does not answer in time. */
-  private void expect(String what) {
+  /** Starts the timeout of an answer, after which the connection is closed. */
+  private void startTimeout(String what) {
     String token = what + '/' + sessionNumber + '/' + statements;
     waitingFor = token;
     world.after(
-        OPERATION_MILLIS,
+        ANSWER_TIMEOUT_MILLIS,
         () -> {
           if (waitingFor.equals(token)) {
-            ClientSession gone = session;
-            if (gone != null) {
-              proxy.execute(proxyRun, gone::disconnected);
+            ClientSession timedOut = session;
+            if (timedOut != null) {
+              proxy.execute(proxyIncarnation, timedOut::disconnected);
             }
             disconnected();
           }
@@ -191,13 +191,13 @@
     channel = null;
     session = null;
     transactionWrites.clear();
-    world.after(1 + random.nextLong(MOST_PAUSE_MILLIS), this::connect);
+    world.after(1 + random.nextLong(MAX_PAUSE_MILLIS), this::connect);
   }
 
   private void begin() {
     waitingFor = "";
     operations = 0;
-    later(random.nextLong(MOST_PAUSE_MILLIS), this::operate);
+    afterDelay(random.nextLong(MAX_PAUSE_MILLIS), this::operate);
   }
 
   private void operate() {
@@ -237,7 +237,7 @@
   private void next() {
     Statement statement = script.pollFirst();
     if (statement == null) {
-      later(random.nextLong(MOST_PAUSE_MILLIS), this::operate);
+      afterDelay(random.nextLong(MAX_PAUSE_MILLIS), this::operate);
       return;
     }
     if (session == null) {
@@ -255,9 +255,9 @@
     } else if (statement instanceof Statement.Write && !transaction.isEmpty()) {
       transactionWrites.add(id);
     }
-    world.note(
+    world.recordSent(
         id,
-        new ServiceWorld.Sent(
+        new ServiceWorld.SentStatement(
             consistency,
             tenant,
             key,
@@ -273,7 +273,7 @@
             new StatementRequest(new StatementId(id), textOf(statement), statement)));
     current = statement;
     currentId = id;
-    expect("statement");
+    startTimeout("statement");
   }
 
   private static String textOf(Statement statement) {
@@ -285,16 +285,16 @@
 
   private void answered(Answer answer) {
     waitingFor = "";
-    boolean atMember =
+    boolean runsAtMember =
         current instanceof Statement.Read
             || current instanceof Statement.Write
             || current instanceof Statement.Execute
             || current instanceof Statement.Commit;
-    if (atMember) {
+    if (runsAtMember) {
       world.checks().answered(currentId, answer.code());
     }
     if (answer.isComplete()) {
-      if (atMember) {
+      if (runsAtMember) {
         world.checks().signature(currentId, answer.text(), "signed/");
       }
       acknowledge();
@@ -304,8 +304,8 @@
     if (answer.state() == SessionState.IDLE) {
       transaction = "";
     }
-    boolean refusedByKey = answer.code() == AnswerCode.NOT_ALLOWED;
-    if (refusedByKey || !answer.isComplete() && current instanceof Statement.SetValue) {
+    boolean keyRefused = answer.code() == AnswerCode.NOT_ALLOWED;
+    if (keyRefused || !answer.isComplete() && current instanceof Statement.SetValue) {
       disconnected();
       return;
     }
@@ -315,7 +315,7 @@
         script.add(new Statement.Rollback());
       }
     }
-    later(transaction.isEmpty() ? 0 : random.nextLong(TRANSACTION_PAUSE_MILLIS), this::next);
+    afterDelay(transaction.isEmpty() ? 0 : random.nextLong(TRANSACTION_PAUSE_MILLIS), this::next);
   }
 
   private void acknowledge() {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceConnection.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceConnection.java
@@ -15,15 +15,15 @@
 import org.streamcourse.version.image.TenantId;
 import org.streamcourse.version.image.TermPosition;
 
-/** One simulated connection between a proxy and a member, with the member's end of its session. */
+/** A simulated connection between a proxy and a member, with the session at the member's end. */
 final class SimServiceConnection implements MemberChannel {
   private static final long COMMIT_MILLIS = 2;
 
   private final ServiceWorld world;
   private final SimHost proxy;
-  private final int proxyRun;
+  private final int proxyIncarnation;
   private final SimServiceMember member;
-  private final int memberRun;
+  private final int memberIncarnation;
   private final Listener listener;
   private final Deque<MemberCommand> commands = new ArrayDeque<>();
   private final Map<String, String> values = new HashMap<>();
@@ -40,9 +40,9 @@
       ServiceWorld world, SimHost proxy, SimServiceMember member, Listener listener) {
     this.world = world;
     this.proxy = proxy;
-    this.proxyRun = proxy.run();
+    this.proxyIncarnation = proxy.incarnation();
     this.member = member;
-    this.memberRun = member.host().run();
+    this.memberIncarnation = member.host().incarnation();
     this.listener = listener;
   }
 
@@ -55,12 +55,12 @@
         .deliver(
             proxy.name(),
             member.host().name(),
-            () -> member.host().execute(memberRun, () -> arrived(command)));
+            () -> member.host().execute(memberIncarnation, () -> receive(command)));
   }
 
   @Override
   public void flush() {
-    // Each command leaves by itself.
+    // send() transmits each command at once.
   }
 
   @Override
@@ -70,10 +70,10 @@
         .deliver(
             proxy.name(),
             member.host().name(),
-            () -> member.host().execute(memberRun, this::endAtMember));
+            () -> member.host().execute(memberIncarnation, this::endAtMember));
   }
 
-  /** The proxy's process has died. */
+  /** Closes the connection because the proxy's process has ended. */
   void proxyDied() {
     close();
   }
@@ -93,10 +93,10 @@
   private void toProxy(Runnable task) {
     world
         .network()
-        .deliver(member.host().name(), proxy.name(), () -> proxy.execute(proxyRun, task));
+        .deliver(member.host().name(), proxy.name(), () -> proxy.execute(proxyIncarnation, task));
   }
 
-  private void arrived(MemberCommand command) {
+  private void receive(MemberCommand command) {
     commands.addLast(command);
     next();
   }
@@ -106,7 +106,7 @@
       return;
     }
     working = true;
-    carryOut(commands.pollFirst());
+    execute(commands.pollFirst());
   }
 
   private void reply(AnswerCode code, String text) {
@@ -115,10 +115,10 @@
       return;
     }
     Answer answer = new Answer(List.of(), code, text, state, member.position());
-    if (world.losesAnswer(member)) {
+    if (world.breaksConnection(member)) {
       ended = true;
       member.closed(this);
-      toProxy(() -> listener.closed("the answer broke off"));
+      toProxy(() -> listener.closed("the connection broke before an answer"));
       return;
     }
     toProxy(() -> listener.answered(answer));
@@ -132,7 +132,7 @@
     reply(code, "refused by " + member.id());
   }
 
-  private void carryOut(MemberCommand command) {
+  private void execute(MemberCommand command) {
     if (command instanceof MemberCommand.Introduce introduce) {
       introduce(introduce);
     } else if (command instanceof MemberCommand.SetSessionValue set) {
@@ -197,9 +197,9 @@
   private void run(String id, String text, TermPosition floor) {
     boolean write = text.startsWith("WRITE");
     boolean commit = text.equals("COMMIT");
-    boolean plain = state == SessionState.TRANSACTION && !readOnly;
-    boolean lostLead = plain && !member.isPrimary() && !(commit && writes.isEmpty());
-    if (lostLead || (write && !member.isPrimary())) {
+    boolean readWrite = state == SessionState.TRANSACTION && !readOnly;
+    boolean demoted = readWrite && !member.isPrimary() && !(commit && writes.isEmpty());
+    if (demoted || (write && !member.isPrimary())) {
       refuse(AnswerCode.READ_ONLY);
       return;
     }
@@ -217,15 +217,15 @@
     if (ended) {
       return;
     }
-    boolean plain = state == SessionState.TRANSACTION && !readOnly;
+    boolean readWrite = state == SessionState.TRANSACTION && !readOnly;
     boolean nothingWritten = commit && writes.isEmpty();
-    if ((plain || write) && !nothingWritten && !member.isPrimary()) {
+    if ((readWrite || write) && !nothingWritten && !member.isPrimary()) {
       refuse(AnswerCode.READ_ONLY);
       return;
     }
-    ServiceWorld.Sent sent = world.sent(id);
+    ServiceWorld.SentStatement sent = world.sent(id);
     if (sent == null) {
-      world.checks().ownTransaction(id, "a statement of a caller", "nobody's");
+      world.checks().ownTransaction(id, "a statement of a caller", "no recorded statement");
       reply(AnswerCode.FAILED, "unknown");
       return;
     }
@@ -249,28 +249,28 @@
               sent.session());
     }
     String signature = "signed/" + id + '/' + member.id();
-    boolean kept = (write && state == SessionState.IDLE) || (commit && !nothingWritten);
-    if (kept && world.isSynchronous()) {
+    boolean committed = (write && state == SessionState.IDLE) || (commit && !nothingWritten);
+    if (committed && world.isSynchronous()) {
       int length = member.received().size();
-      world.group().whenReceived(member, length, () -> replyKept(signature));
+      world.group().whenReceived(member, length, () -> replyCommitted(signature));
     } else {
       reply(AnswerCode.COMPLETE, signature);
     }
   }
 
-  /** A member that lost the lead meanwhile does not acknowledge. */
-  private void replyKept(String signature) {
+  /** Acknowledges a commit that a replica has received, unless the member was demoted since. */
+  private void replyCommitted(String signature) {
     if (member.isPrimary()) {
       reply(AnswerCode.COMPLETE, signature);
     }
   }
 
-  private void checkSession(String id, ServiceWorld.Sent sent) {
+  private void checkSession(String id, ServiceWorld.SentStatement sent) {
     world.checks().sessionValues(id, sent.values(), values);
     world.checks().tenant(id, sent.tenant(), tenant);
-    world.checks().keyInForce(id, sent.key(), world.isInTouch(sent.proxy()));
-    boolean guard = state == SessionState.TRANSACTION && sent.transaction().isEmpty();
-    if (state == SessionState.TRANSACTION && !guard) {
+    world.checks().keyInForce(id, sent.key(), world.isStablyConfirmed(sent.proxy()));
+    boolean implicitTransaction = state == SessionState.TRANSACTION && sent.transaction().isEmpty();
+    if (state == SessionState.TRANSACTION && !implicitTransaction) {
       if (transactionOwner.isEmpty()) {
         transactionOwner = sent.transaction();
       }
@@ -279,12 +279,12 @@
       world.checks().ownTransaction(id, sent.transaction(), "no transaction");
     }
     if (sent.transaction().isEmpty() || sent.firstOfTransaction()) {
-      world.checks().newWork(member.id().value(), id, world.isInTouch(sent.proxy()));
+      world.checks().newWork(member.id().value(), id, world.isStablyConfirmed(sent.proxy()));
       world.checks().operation(sent.tenant(), id, ServiceWorld.QUOTAS);
     }
   }
 
-  private void commit(ServiceWorld.Sent sent) {
+  private void commit(ServiceWorld.SentStatement sent) {
     for (String write : writes) {
       world.committed(write, member.commit(write, sent.session()));
     }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceGroup.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceGroup.java
@@ -12,47 +12,47 @@
 import org.streamcourse.version.image.RegisteredMember;
 import org.streamcourse.version.image.TermPosition;
 
-/** The members of the simulated service as one: replication, and the agent that promotes. */
+/** Replication between the members of the simulated service, and its external promotion agent. */
 final class SimServiceGroup {
   private static final long AGENT_MILLIS = 3;
 
-  /** Time until a replica that may receive again has what it lacks; a way there and back. */
+  /** Time until a resumed replica has received the missing log entries; one round trip. */
   private static final long STREAM_MILLIS = 60;
 
   private static final long PROMOTE_MILLIS = 600;
-  private static final long LATE_ORDER_MILLIS = 3_000;
+  private static final long ORDER_DELAY_MILLIS = 3_000;
   private static final long PROBE_MILLIS = 800;
-  private static final double LATE_ORDER_SHARE = 0.5;
+  private static final double DELAYED_ORDER_SHARE = 0.5;
 
-  /** An answer that waits until a replica has the log. */
-  private record Receipt(SimServiceMember from, int run, int length, Runnable task) {}
+  /** A reply that waits until a replica has received the log up to a length. */
+  private record PendingReply(SimServiceMember from, int incarnation, int length, Runnable task) {}
 
   private final ServiceWorld world;
-  private final List<Receipt> receipts = new ArrayList<>();
+  private final List<PendingReply> pendingReplies = new ArrayList<>();
   private final Set<Long> fences = new HashSet<>();
   private long highestFence;
-  private boolean lateOrders;
+  private boolean delaysOrders;
 
   SimServiceGroup(ServiceWorld world) {
     this.world = world;
   }
 
-  void setLateOrders(boolean value) {
-    lateOrders = value;
+  void setDelaysOrders(boolean value) {
+    delaysOrders = value;
   }
 
   ServiceAgents agentsOf(SimHost host) {
     return new ServiceAgents(new SimAgent(host), new SimProbe(host));
   }
 
-  /** Pauses members for one controller. */
+  /** Pauses, resumes and demotes members on behalf of one controller. */
   private final class SimProbe implements MemberProbe {
     private final SimHost host;
-    private final int run;
+    private final int incarnation;
 
     SimProbe(SimHost host) {
       this.host = host;
-      this.run = host.run();
+      this.incarnation = host.incarnation();
     }
 
     @Override
@@ -62,21 +62,21 @@
         long term,
         Consumer<Optional<TermPosition>> received) {
       boolean[] answered = new boolean[1];
-      ask(
+      runAtMember(
           member,
-          found -> {
+          target -> {
             Optional<TermPosition> end =
-                found.isPrimary() ? Optional.empty() : Optional.of(found.pause());
+                target.isPrimary() ? Optional.empty() : Optional.of(target.pause());
             world
                 .network()
                 .deliver(
-                    found.host().name(),
+                    target.host().name(),
                     host.name(),
-                    () -> host.execute(run, () -> answer(answered, received, end)));
+                    () -> host.execute(incarnation, () -> answer(answered, received, end)));
           });
       world.after(
           PROBE_MILLIS,
-          () -> host.execute(run, () -> answer(answered, received, Optional.empty())));
+          () -> host.execute(incarnation, () -> answer(answered, received, Optional.empty())));
     }
 
     private void answer(
@@ -97,63 +97,65 @@
               done.run();
             }
           };
-      ask(
+      runAtMember(
           member,
-          found -> {
-            found.loseLead();
+          target -> {
+            target.demote();
             world
                 .network()
-                .deliver(found.host().name(), host.name(), () -> host.execute(run, once));
+                .deliver(target.host().name(), host.name(), () -> host.execute(incarnation, once));
           });
-      world.after(PROBE_MILLIS, () -> host.execute(run, once));
+      world.after(PROBE_MILLIS, () -> host.execute(incarnation, once));
     }
 
     @Override
     public void resume(String service, RegisteredMember member) {
-      ask(member, SimServiceMember::resume);
+      runAtMember(member, SimServiceMember::resume);
     }
 
-    private void ask(RegisteredMember member, Consumer<SimServiceMember> question) {
-      SimServiceMember found = world.members().get(member.host());
+    private void runAtMember(RegisteredMember member, Consumer<SimServiceMember> task) {
+      SimServiceMember target = world.members().get(member.host());
       world
           .network()
           .deliver(
               host.name(),
               member.host(),
-              () -> found.host().execute(found.host().run(), () -> question.accept(found)));
+              () -> target.host().execute(target.host().incarnation(), () -> task.accept(target)));
     }
   }
 
-  /** Takes orders of one controller. */
+  /** Executes the promotion orders of one controller. */
   private final class SimAgent implements PromotionAgent {
     private final SimHost host;
-    private final int run;
+    private final int incarnation;
 
     SimAgent(SimHost host) {
       this.host = host;
-      this.run = host.run();
+      this.incarnation = host.incarnation();
     }
 
     @Override
     public void order(Order order, Consumer<Outcome> outcome) {
       world.checks().order(order.fence(), fences);
       world.checks().event("order " + order + " of " + host.name());
-      if (lateOrders && world.random().nextDouble() < LATE_ORDER_SHARE) {
+      if (delaysOrders && world.random().nextDouble() < DELAYED_ORDER_SHARE) {
         world.faults().count("order-late");
-        world.after(LATE_ORDER_MILLIS, () -> carryOut(order));
-        world.after(1_000, () -> host.execute(run, () -> outcome.accept(Outcome.UNANSWERED)));
+        world.after(ORDER_DELAY_MILLIS, () -> executeOrder(order));
+        world.after(
+            1_000, () -> host.execute(incarnation, () -> outcome.accept(Outcome.UNANSWERED)));
         return;
       }
       world.after(
           AGENT_MILLIS,
           () -> {
-            Outcome result = carryOut(order);
-            world.after(AGENT_MILLIS, () -> host.execute(run, () -> outcome.accept(result)));
+            Outcome result = executeOrder(order);
+            world.after(
+                AGENT_MILLIS, () -> host.execute(incarnation, () -> outcome.accept(result)));
           });
     }
   }
 
-  private PromotionAgent.Outcome carryOut(PromotionAgent.Order order) {
+  private PromotionAgent.Outcome executeOrder(PromotionAgent.Order order) {
     long fence = world.fenceOf(order);
     if (fence < highestFence) {
       return PromotionAgent.Outcome.REFUSED;
@@ -178,19 +180,19 @@
     }
     long term =
         world.members().values().stream().mapToLong(SimServiceMember::term).max().orElse(0) + 1;
-    target.lead(term);
+    target.becomePrimary(term);
     world.checks().event("promoted " + target.host().name() + " in term " + term);
     world.checks().promoted(target.host().name(), target.received());
     world.members().values().stream()
         .filter(each -> each != target)
-        .forEach(each -> replaced(each, target));
+        .forEach(each -> demote(each, target));
   }
 
-  /** A member that the new primary can't reach keeps its log until it hears from it. */
-  private void replaced(SimServiceMember member, SimServiceMember leader) {
+  /** Demotes a member after a promotion; it keeps its log until the new primary can reach it. */
+  private void demote(SimServiceMember member, SimServiceMember leader) {
     world.checks().droppedByPromotion(member.notSharedWith(leader), world.isSynchronous());
     if (world.network().isCut(leader.host().name(), member.host().name())) {
-      member.loseLead();
+      member.demote();
     } else {
       member.follow(leader);
       streamTo(member, leader);
@@ -198,22 +200,22 @@
   }
 
   /**
-   * A replica that may receive again gets what it lacks, also while nothing is committed: a real
-   * one keeps asking its primary for the log.
+   * Sends a resumed replica the missing log entries even when nothing is committed, since a real
+   * replica requests the log from its primary continuously.
    */
   void streamTo(SimServiceMember member) {
     primary().filter(leader -> leader != member).ifPresent(leader -> streamTo(member, leader));
   }
 
   private void streamTo(SimServiceMember member, SimServiceMember leader) {
-    int run = member.host().run();
+    int incarnation = member.host().incarnation();
     Runnable arrival = () -> member.receive(leader, leader.received().size());
     world.after(
         STREAM_MILLIS,
         () -> {
           boolean lacks = member.received().size() < leader.received().size();
           if (lacks && leader.isPrimary() && !isCut(leader, member)) {
-            member.host().execute(run, arrival);
+            member.host().execute(incarnation, arrival);
           }
         });
   }
@@ -225,18 +227,18 @@
   void replicate(SimServiceMember from, int length) {
     for (SimServiceMember other : world.members().values()) {
       if (other != from && other.host().isUp()) {
-        int run = other.host().run();
+        int incarnation = other.host().incarnation();
         world
             .network()
             .deliver(
                 from.host().name(),
                 other.host().name(),
-                () -> other.host().execute(run, () -> other.receive(from, length)));
+                () -> other.host().execute(incarnation, () -> other.receive(from, length)));
       }
     }
   }
 
-  /** Brings a member that has just started to the primary's log. */
+  /** Synchronizes the log of a member that has just started with the primary's log. */
   void synchronize(SimServiceMember member) {
     primary()
         .ifPresent(
@@ -254,19 +256,21 @@
 
   /** Runs a task once a replica has received a primary's log up to a length. */
   void whenReceived(SimServiceMember from, int length, Runnable task) {
-    receipts.add(new Receipt(from, from.host().run(), length, task));
+    pendingReplies.add(new PendingReply(from, from.host().incarnation(), length, task));
   }
 
-  /** A replica has received a primary's log up to a length; the receipt travels back. */
+  /** Acknowledges to a primary that a replica has received its log up to a length. */
   void received(SimServiceMember from, SimServiceMember replica, int length) {
-    world.network().deliver(replica.host().name(), from.host().name(), () -> receipt(from, length));
+    world
+        .network()
+        .deliver(replica.host().name(), from.host().name(), () -> acknowledge(from, length));
   }
 
-  private void receipt(SimServiceMember from, int length) {
-    for (Receipt each : List.copyOf(receipts)) {
+  private void acknowledge(SimServiceMember from, int length) {
+    for (PendingReply each : List.copyOf(pendingReplies)) {
       if (each.from() == from && each.length() <= length) {
-        receipts.remove(each);
-        from.host().execute(each.run(), each.task());
+        pendingReplies.remove(each);
+        from.host().execute(each.incarnation(), each.task());
       }
     }
   }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceMember.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceMember.java
@@ -12,13 +12,13 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * A simulated database member that registers itself: it holds a log, runs statements in a few slots
- * and tells the controllers of itself.
+ * A simulated database member that registers itself with heartbeats to the controllers, holds a log
+ * and runs statements in a few slots.
  */
 final class SimServiceMember {
   private static final long HEARTBEAT_MILLIS = 1_200;
   private static final int SLOTS = 3;
-  private static final int QUEUE = 24;
+  private static final int MAX_QUEUED = 24;
   private static final int PORT = 7_000;
 
   private final ServiceWorld world;
@@ -29,7 +29,7 @@
   private int appliedCount;
   private boolean primary;
   private boolean draining;
-  private boolean departed;
+  private boolean removed;
   private boolean paused;
   private long term = 1;
   private long lagMillis = 8;
@@ -54,8 +54,8 @@
     return primary && host.isUp();
   }
 
-  boolean hasDeparted() {
-    return departed;
+  boolean isRemoved() {
+    return removed;
   }
 
   void setPrimary(boolean value) {
@@ -70,7 +70,7 @@
     return term;
   }
 
-  RegisteredMember described() {
+  RegisteredMember registration() {
     return new RegisteredMember(id(), host.name(), PORT, host.placement().zone(), SLOTS, draining);
   }
 
@@ -79,13 +79,13 @@
     busy = 0;
     paused = false;
     queue.clear();
-    boolean replaced =
+    boolean otherPrimary =
         world.members().values().stream().anyMatch(each -> each != this && each.isPrimary());
-    if (replaced) {
+    if (otherPrimary) {
       primary = false;
       world.group().synchronize(this);
     }
-    heartbeat();
+    heartbeatPeriodically();
   }
 
   private void killed() {
@@ -95,41 +95,41 @@
     queue.clear();
   }
 
-  // ---- signs of life ----
+  // ---- heartbeats ----
 
-  private void heartbeat() {
-    tell();
-    host.worker().schedule(HEARTBEAT_MILLIS, this::heartbeat);
+  private void heartbeatPeriodically() {
+    sendHeartbeat();
+    host.worker().schedule(HEARTBEAT_MILLIS, this::heartbeatPeriodically);
   }
 
-  /** Tells the controllers at once what has changed. */
-  void tell() {
+  /** Sends the member's current state to the next controller in turn. */
+  void sendHeartbeat() {
     sequence++;
     controller = (controller + 1) % World.CONTROLLERS.size();
-    boolean leaves = draining;
+    boolean announced = draining;
     world.memberHeartbeat(
         this,
         World.CONTROLLERS.get(controller),
         sequence,
         () -> {
-          if (leaves) {
+          if (announced) {
             world.checks().drainAcknowledged(id().value());
           }
         });
   }
 
-  /** Begins to leave: tells so until it is acknowledged, serves on, and ends. */
-  void leave(long serveMillis) {
+  /** Announces the drain with heartbeats, serves for a while, then stops for good. */
+  void drainAndStop(long drainMillis) {
     draining = true;
     for (int i = 0; i < World.CONTROLLERS.size(); i++) {
-      tell();
+      sendHeartbeat();
     }
     Worker worker = host.worker();
     worker.schedule(
-        serveMillis,
+        drainMillis,
         () -> {
-          departed = true;
-          world.memberLeaves(this);
+          removed = true;
+          world.deregister(this);
           host.kill();
         });
   }
@@ -152,7 +152,7 @@
     return appliedCount >= floor.position() && term >= floor.term();
   }
 
-  /** A commit at the primary; returns its entry. */
+  /** Commits a write at the primary; returns its log entry. */
   LogEntry commit(String statement, long session) {
     LogEntry entry = new LogEntry(term, statement, session);
     received.add(entry);
@@ -162,7 +162,7 @@
     return entry;
   }
 
-  /** The primary's log up to a length arrives. */
+  /** Receives a primary's log up to a length. */
   void receive(SimServiceMember from, int length) {
     if (primary || paused || from.term < term) {
       return;
@@ -181,7 +181,7 @@
             () -> appliedCount = Math.max(appliedCount, Math.min(reached, received.size())));
   }
 
-  /** Receives nothing more; returns the end of its log. */
+  /** Stops receiving log entries; returns the end of the log. */
   TermPosition pause() {
     paused = true;
     return new TermPosition(term, received.size());
@@ -192,44 +192,46 @@
     world.group().streamTo(this);
   }
 
-  /** Another member leads a newer term: what it does not have is dropped. */
-  void follow(SimServiceMember leader) {
-    List<LogEntry> gone = notSharedWith(leader);
+  /**
+   * Follows the primary of a newer term and drops the log entries that the primary does not have.
+   */
+  void follow(SimServiceMember newPrimary) {
+    List<LogEntry> dropped = notSharedWith(newPrimary);
     primary = false;
     paused = false;
-    term = leader.term;
-    received.subList(received.size() - gone.size(), received.size()).clear();
+    term = newPrimary.term;
+    received.subList(received.size() - dropped.size(), received.size()).clear();
     appliedCount = Math.min(appliedCount, received.size());
     if (host.isUp()) {
-      tell();
+      sendHeartbeat();
     }
   }
 
-  /** The end of this log that another member's log does not have. */
-  List<LogEntry> notSharedWith(SimServiceMember leader) {
+  /** Returns the entries after the common prefix of this log and another member's log. */
+  List<LogEntry> notSharedWith(SimServiceMember other) {
     int common = 0;
-    while (common < Math.min(received.size(), leader.received.size())
-        && received.get(common).equals(leader.received.get(common))) {
+    while (common < Math.min(received.size(), other.received.size())
+        && received.get(common).equals(other.received.get(common))) {
       common++;
     }
     return new ArrayList<>(received.subList(common, received.size()));
   }
 
-  /** Another member leads a newer term, and can't be reached yet. */
-  void loseLead() {
+  /** Stops being primary without a new primary to follow yet. */
+  void demote() {
     primary = false;
     paused = false;
     if (host.isUp()) {
-      tell();
+      sendHeartbeat();
     }
   }
 
-  void lead(long newTerm) {
+  void becomePrimary(long newTerm) {
     primary = true;
     paused = false;
     term = newTerm;
     appliedCount = received.size();
-    tell();
+    sendHeartbeat();
   }
 
   // ---- running ----
@@ -246,10 +248,10 @@
     return connections.size();
   }
 
-  /** Runs work in a slot; returns false when there is no room. */
+  /** Runs work in a slot, queued if all slots are busy; returns false when the queue is full. */
   boolean run(long workMillis, Runnable work) {
     if (busy >= SLOTS) {
-      if (queue.size() >= QUEUE) {
+      if (queue.size() >= MAX_QUEUED) {
         return false;
       }
       queue.addLast(() -> start(workMillis, work));
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceProxy.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimServiceProxy.java
@@ -9,7 +9,7 @@
 import org.streamcourse.request.routing.RequestLog;
 import org.streamcourse.version.image.NodeImage;
 
-/** A simulated process of a statement proxy. */
+/** A simulated statement proxy process. */
 final class SimServiceProxy {
   private static final int PORT = 7_100;
 
@@ -70,14 +70,14 @@
     connections.add(connection);
   }
 
-  /** Opens a session; to be called on this process. */
+  /** Opens a session; must be called in a task of this process. */
   ClientSession open(ClientChannel channel) {
     channels.add(channel);
     return node.open(channel);
   }
 
-  /** Runs a task unless the process has ended since. */
-  void execute(int run, Runnable task) {
-    host.execute(run, task);
+  /** Runs a task unless the given incarnation of the process has ended. */
+  void execute(int incarnation, Runnable task) {
+    host.execute(incarnation, task);
   }
 }
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimulateCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimulateCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Runs scenarios for many seeds and reports what was checked and what broke. */
+/** Runs scenarios for a range of seeds and reports the checks made and the violations found. */
 @Command(
     name = "simulate",
     mixinStandardHelpOptions = true,
@@ -29,13 +29,13 @@
   @Option(names = "--seeds", required = true, description = "First and last seed, as A..B.")
   private String seeds;
 
-  @Option(names = "--scenario", description = "Scenario; all of them when left out.")
+  @Option(names = "--scenario", description = "Scenario to run; all scenarios by default.")
   private String scenario;
 
-  @Option(names = "--errors", description = "Also print the errors that callers saw.")
+  @Option(names = "--errors", description = "Also print the errors that callers received.")
   private boolean errors;
 
-  /** What came out of one run; the world itself is let go, since thousands would fill the heap. */
+  /** Result of one run, without its world: thousands of retained worlds would fill the heap. */
   private record Outcome(
       long seed,
       Scenario scenario,
@@ -45,7 +45,7 @@
 
   @Override
   public Integer call() throws Exception {
-    List<Scenario> scenarios = chosenScenarios();
+    List<Scenario> scenarios = selectedScenarios();
     Matcher bounds = SEEDS.matcher(seeds);
     if (!bounds.matches()) {
       throw new ParameterException(
@@ -55,7 +55,7 @@
     long last = bounds.group(2) == null ? first : Long.parseLong(bounds.group(2));
     FaultCounter faults = new FaultCounter();
     FaultCounter checks = new FaultCounter();
-    Outcome shortest = null;
+    Outcome earliestViolation = null;
     long violations = 0;
     for (Scenario each : scenarios) {
       List<Outcome> outcomes =
@@ -64,21 +64,21 @@
         faults.addAll(outcome.faults());
         checks.addAll(outcome.history().checks());
         violations += outcome.history().violations().size();
-        shortest = shorter(shortest, outcome);
+        earliestViolation = earlier(earliestViolation, outcome);
         if (errors) {
           outcome.errors().forEach((text, n) -> System.out.println(n + " x " + text));
         }
       }
       report(each, outcomes);
     }
-    if (shortest != null) {
-      print(shortest);
+    if (earliestViolation != null) {
+      printExcerpt(earliestViolation);
     }
     printJson(scenarios.size() * (last - first + 1), violations, faults, checks);
     return violations == 0 ? 0 : 1;
   }
 
-  private List<Scenario> chosenScenarios() {
+  private List<Scenario> selectedScenarios() {
     if (scenario == null) {
       return List.of(Scenario.values());
     }
@@ -93,12 +93,12 @@
   }
 
   private static Outcome run(long seed, Scenario scenario) {
-    World world = new World(seed, new SimParts());
+    World world = new World(seed, new SimHooks());
     world.run(scenario);
     return new Outcome(seed, scenario, world.history(), world.faults(), world.errors());
   }
 
-  private static Outcome shorter(Outcome best, Outcome candidate) {
+  private static Outcome earlier(Outcome best, Outcome candidate) {
     if (candidate.history().violations().isEmpty()) {
       return best;
     }
@@ -116,7 +116,7 @@
     long unknown = 0;
     long notRun = 0;
     long reads = 0;
-    long bad = 0;
+    long violating = 0;
     for (Outcome outcome : outcomes) {
       History history = outcome.history();
       acknowledged += history.count(History.Outcome.ACKNOWLEDGED);
@@ -124,17 +124,17 @@
       notRun += history.count(History.Outcome.NOT_RUN);
       reads += history.reads();
       if (!history.violations().isEmpty()) {
-        bad++;
+        violating++;
         System.out.printf("  seed %d: %s%n", outcome.seed(), history.violations().get(0));
       }
     }
     System.out.printf(
         "%-20s %d runs, %d with violations; %d bookings acknowledged, %d not run, %d unknown,"
             + " %d reads%n",
-        scenario.label(), outcomes.size(), bad, acknowledged, notRun, unknown, reads);
+        scenario.label(), outcomes.size(), violating, acknowledged, notRun, unknown, reads);
   }
 
-  private static void print(Outcome outcome) {
+  private static void printExcerpt(Outcome outcome) {
     System.out.printf(
         "Shortest history with a violation: scenario %s, seed %d%n",
         outcome.scenario().label(), outcome.seed());
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimulateServiceCommand.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimulateServiceCommand.java
@@ -12,12 +12,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Runs scenarios of services whose members register themselves, for many seeds. */
+/** Runs scenarios of a service whose members register themselves, for a range of seeds. */
 @Command(
     name = "simulate-service",
     mixinStandardHelpOptions = true,
     description =
-        "Runs the decision code before self-registering members under faults on a virtual clock;"
+        "Runs the decision code with self-registering members under faults on a virtual clock;"
             + " exit 1 on a violation.")
 public final class SimulateServiceCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
@@ -28,16 +28,16 @@
   @Option(names = "--runs", required = true, description = "Number of seeds.")
   private long runs;
 
-  @Option(names = "--scenario", description = "Scenario; all of them when left out.")
+  @Option(names = "--scenario", description = "Scenario to run; all scenarios by default.")
   private String scenario;
 
   @Option(
       names = "--synchronous-replicas",
       defaultValue = "0",
-      description = "Replicas that have received a commit before it is acknowledged.")
+      description = "Replicas that must receive a commit before it is acknowledged.")
   private int synchronousReplicas;
 
-  /** What came out of one run. */
+  /** Result of one run. */
   private record Outcome(long seed, ServiceChecks checks, FaultCounter faults) {}
 
   @Override
@@ -45,29 +45,29 @@
     FaultCounter faults = new FaultCounter();
     FaultCounter checks = new FaultCounter();
     long violations = 0;
-    for (ServiceScenario each : chosen()) {
+    for (ServiceScenario each : selectedScenarios()) {
       List<Outcome> outcomes =
           LongStream.range(firstSeed, firstSeed + runs)
               .parallel()
               .mapToObj(seed -> run(seed, each))
               .toList();
-      long broken = 0;
+      long violating = 0;
       for (Outcome outcome : outcomes) {
         faults.addAll(outcome.faults());
         checks.addAll(outcome.checks().checks());
         violations += outcome.checks().violations().size();
         if (!outcome.checks().violations().isEmpty()) {
-          broken++;
+          violating++;
           System.out.printf(
               "  seed %d: %s%n", outcome.seed(), outcome.checks().violations().get(0));
           System.out.printf("    %s%n", outcome.checks().lastEvents());
         }
       }
-      System.out.printf("%-40s %d runs, %d with violations%n", each.label(), runs, broken);
+      System.out.printf("%-40s %d runs, %d with violations%n", each.label(), runs, violating);
     }
     ObjectMapper mapper = new ObjectMapper();
     ObjectNode json = mapper.createObjectNode();
-    json.put("seeds", chosen().size() * runs);
+    json.put("seeds", selectedScenarios().size() * runs);
     json.put("violations", violations);
     json.set("faults_injected", mapper.valueToTree(faults.counts()));
     json.set("checks", mapper.valueToTree(checks.counts()));
@@ -75,17 +75,17 @@
     return violations == 0 ? 0 : 1;
   }
 
-  private List<ServiceScenario> chosen() {
-    List<ServiceScenario> chosen =
+  private List<ServiceScenario> selectedScenarios() {
+    List<ServiceScenario> selected =
         Stream.of(ServiceScenario.values())
             .filter(each -> scenario == null || each.label().equals(scenario))
             .toList();
-    if (chosen.isEmpty()) {
+    if (selected.isEmpty()) {
       List<String> names = Stream.of(ServiceScenario.values()).map(ServiceScenario::label).toList();
       throw new ParameterException(
           spec.commandLine(), "--scenario: '" + scenario + "' is none of " + names);
     }
-    return chosen;
+    return selected;
   }
 
   private Outcome run(long seed, ServiceScenario each) {
--- a/lab/src/main/java/org/streamcourse/lab/simulation/World.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/World.java
@@ -22,10 +22,10 @@
 import org.streamcourse.version.image.Placement;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** One simulated fleet with its callers, on a virtual clock. */
+/** A simulated fleet of controllers, proxies and members with its callers, on a virtual clock. */
 public final class World {
-  /** What a caller is told by a proxy that stops; its request has not run. */
-  private static final String PROXY_STOPPING = "57P01";
+  /** SQLSTATE that a stopping proxy returns for a request that has not run. */
+  private static final String ADMIN_SHUTDOWN = "57P01";
 
   /** Name of the simulated group. */
   public static final String GROUP = "bookings";
@@ -37,13 +37,13 @@
   private static final int REGIONS = 3;
   private static final int PROXIES = 6;
   private static final int CALLERS = 8;
-  private static final double BOOKER_READ_SHARE = 0.6;
+  private static final double WRITER_READ_SHARE = 0.6;
 
   /**
-   * Callers that hardly book have old floors, so that only the staleness limit keeps their reads
-   * from a replica that is far behind.
+   * One caller in so many mostly reads. Its floor is old, so that only the staleness limit keeps
+   * its reads away from a replica that lags far behind.
    */
-  private static final int READER_EVERY = 4;
+  private static final int CALLERS_PER_READER = 4;
 
   private static final double READER_READ_SHARE = 0.99;
   private static final int MEMBER_PORTS = 5_000;
@@ -65,7 +65,7 @@
 
   private final VirtualTimeScheduler scheduler = VirtualTimeScheduler.create();
   private final UniformRandomProvider random;
-  private final SimParts parts;
+  private final SimHooks hooks;
   private final FaultCounter faults = new FaultCounter();
   private final History history = new History(this::nowMillis);
   private final SimNetwork network;
@@ -80,13 +80,13 @@
   /**
    * Builds a fleet that does not run yet.
    *
-   * @param seed decides everything that is left to chance
-   * @param parts replaceable parts
+   * @param seed seed of all random draws
+   * @param hooks extension points that tests override
    */
-  public World(long seed, SimParts parts) {
+  public World(long seed, SimHooks hooks) {
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    this.parts = parts;
-    network = new SimNetwork(scheduler, random, CODEC, CONDITIONS, faults, parts);
+    this.hooks = hooks;
+    network = new SimNetwork(scheduler, random, CODEC, CONDITIONS, faults, hooks);
     for (int i = 0; i < CONTROLLERS.size(); i++) {
       controllers.put(
           CONTROLLERS.get(i), new SimController(this, newHost(CONTROLLERS.get(i), i, 0)));
@@ -98,11 +98,11 @@
     for (int i = 0; i < REGIONS; i++) {
       String name = "m" + (i + 1);
       SimHost host = newHost(GROUP + '-' + name, i, 0);
-      members.put(name, parts.newMember(name, host, network, history, members));
+      members.put(name, hooks.newMember(name, host, network, history, members));
     }
     for (int i = 0; i < CALLERS; i++) {
-      double readShare = i % READER_EVERY == 0 ? READER_READ_SHARE : BOOKER_READ_SHARE;
-      callers.add(parts.newCaller("caller" + i, this, random, readShare));
+      double readShare = i % CALLERS_PER_READER == 0 ? READER_READ_SHARE : WRITER_READ_SHARE;
+      callers.add(hooks.newCaller("caller" + i, this, random, readShare));
     }
   }
 
@@ -119,7 +119,7 @@
   /**
    * Runs a scenario from boot to the last check.
    *
-   * @param scenario what fails
+   * @param scenario faults of the run
    */
   public void run(Scenario scenario) {
     run(scenario.isPlanned(), scenario::start);
@@ -128,8 +128,8 @@
   /**
    * Runs faults from boot to the last check.
    *
-   * @param planned whether callers must see no error
-   * @param scenario starts what fails, once callers are at work
+   * @param planned whether callers must receive no error
+   * @param scenario starts the faults once callers are running
    */
   void run(boolean planned, Consumer<World> scenario) {
     errorsAllowed = !planned;
@@ -221,12 +221,12 @@
       separator = ", ";
     }
     sql.append(") COMMAND 'create'");
-    operateUntilAccepted(sql.toString(), () -> {});
+    sendUntilAccepted(sql.toString(), () -> {});
   }
 
   // ---- for scenarios ----
 
-  /** Address under which the controllers and the platform know a member. */
+  /** Returns the address under which controllers and the platform know a member. */
   static String addressOf(String member) {
     return "127.0.0.1:" + (MEMBER_PORTS + member.charAt(1) - '0');
   }
@@ -249,8 +249,8 @@
     return random;
   }
 
-  SimParts parts() {
-    return parts;
+  SimHooks hooks() {
+    return hooks;
   }
 
   SimNetwork network() {
@@ -265,16 +265,16 @@
     return faults;
   }
 
-  /** Errors that callers saw, by state and text. */
+  /** Returns the number of errors that callers received, by SQLSTATE and text. */
   Map<String, Long> errors() {
     return errors;
   }
 
-  void noteError(String caller, String state, String text) {
+  void recordError(String caller, String state, String text) {
     errors.merge(state + ' ' + text, 1L, Long::sum);
     history.event(caller + " got " + state + ' ' + text);
-    boolean told = state.equals(PROXY_STOPPING);
-    history.plannedStopAnswer(caller, errorsAllowed || told, state + ' ' + text);
+    boolean stopping = state.equals(ADMIN_SHUTDOWN);
+    history.plannedStopAnswer(caller, errorsAllowed || stopping, state + ' ' + text);
   }
 
   long nowMillis() {
@@ -326,7 +326,7 @@
         .map(member -> members.get(member.name()));
   }
 
-  /** All host names that stand in a region. */
+  /** Returns the names of all hosts in a region. */
   List<String> hostsIn(String region) {
     List<String> names = new ArrayList<>();
     controllers.values().forEach(each -> addIfIn(region, each.host(), names));
@@ -352,25 +352,25 @@
     return names;
   }
 
-  /** Sends an operator's statement to one controller; the answer may never come. */
-  void operate(String controller, String sql, Consumer<AdminResult> answer) {
+  /** Sends an operator's statement to one controller; the answer may be lost. */
+  void sendStatement(String controller, String sql, Consumer<AdminResult> answer) {
     SimController handle = controllers.get(controller);
-    int run = handle.host().run();
+    int incarnation = handle.host().incarnation();
     handle
         .host()
         .execute(
-            run,
+            incarnation,
             () ->
                 handle
                     .node()
                     .router()
                     .execute(
-                        parts.operatorStatement(sql),
+                        hooks.operatorStatement(sql),
                         result -> clockWorker.execute(() -> answer.accept(result))));
   }
 
-  /** Sends a command, with its id, to one controller after the other until it is accepted. */
-  void operateUntilAccepted(String sql, Runnable whenAccepted) {
+  /** Sends a command with an id to the controllers in turn until one of them accepts it. */
+  void sendUntilAccepted(String sql, Runnable whenAccepted) {
     boolean[] accepted = new boolean[1];
     Runnable[] attempt = new Runnable[1];
     int[] turn = new int[1];
@@ -381,13 +381,13 @@
           }
           String controller = CONTROLLERS.get(turn[0] % CONTROLLERS.size());
           turn[0]++;
-          operate(
+          sendStatement(
               controller,
               sql,
               result -> {
                 if (result.sqlState().isEmpty() && !accepted[0]) {
                   accepted[0] = true;
-                  noteAccepted(sql, result);
+                  recordAccepted(sql, result);
                   whenAccepted.run();
                 }
               });
@@ -396,8 +396,8 @@
     attempt[0].run();
   }
 
-  /** Notes an accepted command with the version that it made. */
-  void noteAccepted(String sql, AdminResult result) {
+  /** Records an accepted command with the version that it created. */
+  void recordAccepted(String sql, AdminResult result) {
     history.event("accepted " + result.rows() + " " + sql);
     if (result.columns().equals(List.of("version"))) {
       history.commandAccepted(Long.parseLong(result.rows().get(0).get(0)), sql);
--- a/lab/src/main/java/org/streamcourse/lab/simulation/package-info.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Deterministic simulation: the product's decision code on a virtual clock, with a network, disks
- * and databases that fail as the seed says. The same seed gives the same history.
+ * Deterministic simulation: runs the product's decision code on a virtual clock, with a simulated
+ * network, disks and databases whose faults are drawn from a seed. The same seed gives the same
+ * history.
  */
 package org.streamcourse.lab.simulation;
--- a/lab/src/test/java/org/streamcourse/lab/simulation/LostPartTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/DroppedOutputTest.java
@@ -10,18 +10,18 @@
 import org.streamcourse.request.StreamMessage.Output;
 import org.testng.annotations.Test;
 
-/** A gateway's message that is dropped, while later ones arrive on the next link. */
-public class LostPartTest {
+/** Drops messages with parts of an answer, while later messages of the stream arrive. */
+public class DroppedOutputTest {
   private static final long SEEDS = 12;
-  private static final int ONE_LOST_OF = 20;
+  private static final int DROPPED_STREAM_DIVISOR = 20;
 
-  /** Drops parts of answers. */
-  private static final class DroppingParts extends SimParts {
+  /** Replaces the output messages of some streams by messages without effect. */
+  private static final class OutputDroppingHooks extends SimHooks {
     private final AtomicInteger dropped = new AtomicInteger();
 
     @Override
     Object transmit(String from, String to, Object message) {
-      if (message instanceof Output output && output.streamId() % ONE_LOST_OF == 0) {
+      if (message instanceof Output output && output.streamId() % DROPPED_STREAM_DIVISOR == 0) {
         dropped.incrementAndGet();
         return new KeepStreams(List.of());
       }
@@ -29,9 +29,9 @@
     }
   }
 
-  /** Guards against an answer that lacks rows and is passed off as whole. */
+  /** Guards against an answer with missing rows that the caller receives as complete. */
   @Test
-  public void anAnswerThatMissesAPartIsNotPassedOffAsWhole() {
+  public void answerWithDroppedOutputIsNotReportedAsComplete() {
     List<String> violations =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
@@ -42,10 +42,10 @@
   }
 
   private static List<String> run(long seed) {
-    DroppingParts parts = new DroppingParts();
-    World world = new World(seed, parts);
+    OutputDroppingHooks hooks = new OutputDroppingHooks();
+    World world = new World(seed, hooks);
     world.run(Scenario.PRIMARY_KILLED);
-    assertTrue(parts.dropped.get() > 0, "parts were dropped");
+    assertTrue(hooks.dropped.get() > 0, "no output message was dropped");
     return world.history().violations();
   }
 }
--- a/lab/src/test/java/org/streamcourse/lab/simulation/MemberReportTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/MemberReportTest.java
@@ -7,16 +7,16 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** What the leader tells operators of a member comes from the member's present gateways. */
+/** Checks that the leader's report on a member is based on the member's current gateways only. */
 public class MemberReportTest {
   private static final long SEEDS = 8;
   private static final long KILL_AT_MILLIS = 12_000;
-  private static final long LOOK_AT_MILLIS = 13_800;
+  private static final long REPORT_AT_MILLIS = 13_800;
 
-  /** Proxies stop one after the other, so that other nodes were gateways for a while. */
-  private static List<String> deadMembersShownAsReachable(long seed) {
-    World world = new World(seed, new SimParts());
-    List<String> shown = new ArrayList<>();
+  /** Restarts proxies one after the other, so that other nodes act as gateways temporarily. */
+  private static List<String> deadMembersReportedReachable(long seed) {
+    World world = new World(seed, new SimHooks());
+    List<String> reported = new ArrayList<>();
     world.run(
         false,
         running -> {
@@ -24,16 +24,16 @@
           running.after(
               KILL_AT_MILLIS, () -> running.members().values().forEach(m -> m.host().kill()));
           running.after(
-              LOOK_AT_MILLIS,
+              REPORT_AT_MILLIS,
               () ->
                   running.members().keySet().stream()
-                      .filter(member -> isShownAsReachable(running, member))
-                      .forEach(member -> shown.add("seed " + seed + ": " + member)));
+                      .filter(member -> isReportedReachable(running, member))
+                      .forEach(member -> reported.add("seed " + seed + ": " + member)));
         });
-    return shown;
+    return reported;
   }
 
-  private static boolean isShownAsReachable(World world, String member) {
+  private static boolean isReportedReachable(World world, String member) {
     return world
         .leader()
         .flatMap(leader -> leader.node().controller().report(World.GROUP, member))
@@ -42,13 +42,13 @@
   }
 
   @Test
-  public void deadMemberIsNotReachableThoughAnotherNodeReachedItBefore() {
-    List<String> shown =
+  public void deadMemberIsNotReportedReachableByFormerGateways() {
+    List<String> reported =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
             .boxed()
-            .flatMap(seed -> deadMembersShownAsReachable(seed).stream())
+            .flatMap(seed -> deadMembersReportedReachable(seed).stream())
             .toList();
-    assertEquals(shown, List.of());
+    assertEquals(reported, List.of());
   }
 }
--- a/lab/src/test/java/org/streamcourse/lab/simulation/ChangeAfterAPartitionTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/PrimaryChangeAfterPartitionTest.java
@@ -8,33 +8,33 @@
 import org.testng.annotations.Test;
 
 /**
- * After a partition, no member leads with writes that an earlier change of primary has dropped.
+ * After a partition, no member becomes primary with writes that an earlier promotion has dropped.
  *
- * <p>Seen on a fleet of 12 machines: for 7 s a network partition stood between eight of nine
- * proxies with the primary, and the controllers with the other proxy and two replicas. A replica
- * was promoted. When the partition ended, the eight proxies were admitted again and still called
- * the new primary unreachable, as it had been from their side; 0.1 s later the former primary, of
- * which the latest place was known, was promoted, and its dropped writes were back. Whoever had
- * read at the primary between the two changes had read a log without them.
+ * <p>Guards against a second promotion based on outdated reports. In a fleet of 12 hosts, a
+ * partition of 7 s separated eight of nine proxies and the primary from the controllers, the other
+ * proxy and two replicas, one of which was promoted. When the partition ended, the eight proxies
+ * still reported the new primary as unreachable; 0.1 s later the former primary, whose known
+ * position was the latest, was promoted again with the writes that the first promotion had dropped.
+ * Reads between the two promotions had returned a log without these writes.
  */
-public class ChangeAfterAPartitionTest {
+public class PrimaryChangeAfterPartitionTest {
   private static final long SEEDS = 16;
-  private static final int WITH_CONTROLLERS = 1;
+  private static final int PROXIES_WITH_CONTROLLERS = 1;
   private static final long PARTITION_MILLIS = 7_000;
 
-  /** Time by which the ways to members come back later than those to controllers. */
-  private static final long RETRIED_MILLIS = 400;
+  /** Delay after the partition until the separated proxies reach the replicas again. */
+  private static final long PROXY_RECONNECT_MILLIS = 400;
 
-  /** The same for the way of the former primary to the other members. */
-  private static final long REPLICATION_MILLIS = 2_000;
+  /** Delay after the partition until the former primary reaches the replicas again. */
+  private static final long PRIMARY_RECONNECT_MILLIS = 2_000;
 
-  /** Delay with which replicas apply, so that none shows a place of the new primary's term. */
+  /** Apply lag of replicas, so that none reports a position of the new primary's term. */
   private static final long LAG_MILLIS = 6_000;
 
-  private static void part(ServiceWorld world) {
+  private static void partition(ServiceWorld world) {
     List<String> proxies = new ArrayList<>(world.proxies().keySet());
-    List<String> far = new ArrayList<>(proxies.subList(WITH_CONTROLLERS, proxies.size()));
-    List<String> near = new ArrayList<>(proxies.subList(0, WITH_CONTROLLERS));
+    List<String> far = new ArrayList<>(proxies.subList(PROXIES_WITH_CONTROLLERS, proxies.size()));
+    List<String> near = new ArrayList<>(proxies.subList(0, PROXIES_WITH_CONTROLLERS));
     near.addAll(World.CONTROLLERS);
     List<String> primaries = new ArrayList<>();
     List<String> replicas = new ArrayList<>();
@@ -46,8 +46,9 @@
     replicas.forEach(name -> world.members().get(name).setLagMillis(LAG_MILLIS));
     far.forEach(name -> world.cut(name, near));
     world.after(PARTITION_MILLIS, () -> cutAgain(world, far, replicas));
-    world.after(PARTITION_MILLIS + RETRIED_MILLIS, () -> cutAgain(world, primaries, replicas));
-    world.after(PARTITION_MILLIS + REPLICATION_MILLIS, world.network()::healAll);
+    world.after(
+        PARTITION_MILLIS + PROXY_RECONNECT_MILLIS, () -> cutAgain(world, primaries, replicas));
+    world.after(PARTITION_MILLIS + PRIMARY_RECONNECT_MILLIS, world.network()::healAll);
   }
 
   private static void cutAgain(ServiceWorld world, List<String> far, List<String> near) {
@@ -57,7 +58,7 @@
 
   private static List<String> run(long seed) {
     ServiceWorld world = new ServiceWorld(seed, ServiceSize.FEW_CONNECTIONS);
-    world.run(ChangeAfterAPartitionTest::part);
+    world.run(PrimaryChangeAfterPartitionTest::partition);
     List<String> found = new ArrayList<>(world.checks().violations());
     long changes = world.checks().countEvents("promoted");
     if (changes > 1) {
@@ -67,11 +68,11 @@
   }
 
   @Test
-  public void thePrimaryStaysAndDroppedWritesStayAway() {
+  public void newPrimaryStaysAndDroppedWritesDoNotReturn() {
     List<String> violations =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
-            .mapToObj(ChangeAfterAPartitionTest::run)
+            .mapToObj(PrimaryChangeAfterPartitionTest::run)
             .flatMap(List::stream)
             .toList();
     assertEquals(String.join("; ", violations), "");
--- a/lab/src/test/java/org/streamcourse/lab/simulation/RelayScenarioTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/RelayScenarioTest.java
@@ -10,11 +10,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Fleets of more proxies than a member accepts connections serve, and hold every promise. */
+/** Checks every invariant in fleets with more proxies than a member accepts connections. */
 public class RelayScenarioTest {
   private static final long SEEDS = 8;
 
-  /** As many proxies and connections as the larger deployments have. */
+  /** Proxies and connections of a large deployment. */
   private static final ServiceSize SEVENTY_PROXIES = new ServiceSize(70, 53, 0);
 
   @DataProvider
@@ -47,13 +47,13 @@
   }
 
   @DataProvider
-  public Object[][] formerDoubleRuns() {
+  public Object[][] seedsWithFormerDoubleWrites() {
     return new Object[][] {{51L}, {843L}, {932L}};
   }
 
-  /** Guards against a write that runs twice when links between proxies are reset (TWICE). */
-  @Test(dataProvider = "formerDoubleRuns")
-  public void aWriteOnALinkThatIsResetRunsOnce(long seed) {
+  /** Guards against a write that runs twice because the link between two proxies was reset. */
+  @Test(dataProvider = "seedsWithFormerDoubleWrites")
+  public void writeOnResetLinkRunsOnce(long seed) {
     ServiceWorld world = run(seed, ServiceSize.FEW_CONNECTIONS, ServiceScenario.LINKS_RESET);
     assertEquals(world.checks().violations(), List.of(), "" + world.checks().lastEvents());
   }
@@ -64,7 +64,7 @@
   }
 
   @Test(dataProvider = "sizes")
-  public void calmRunServesEverythingWithinTheMembersLimits(ServiceSize size) {
+  public void faultlessRunCompletesAllStatementsWithinConnectionLimits(ServiceSize size) {
     for (long seed = 1; seed <= 4; seed++) {
       ServiceWorld world = new ServiceWorld(seed, size);
       world.run(any -> {});
--- a/lab/src/test/java/org/streamcourse/lab/simulation/RestartTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/RestartTest.java
@@ -15,11 +15,11 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** A controller that crashes at each of its writes comes back to the latest accepted state. */
+/** Checks that a controller that crashes in each of its writes recovers the accepted state. */
 public class RestartTest {
   private static final int CHANGES = 1_000;
   private static final long FIRST_VALUE = 1_000;
-  private static final int MAX_RESTARTS_A_CHANGE = 8;
+  private static final int MAX_ATTEMPTS_PER_CHANGE = 8;
 
   private final VirtualTimeScheduler clock = VirtualTimeScheduler.create();
   private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
@@ -54,16 +54,17 @@
     clock.advanceTimeBy(Duration.ofSeconds(4));
   }
 
-  /** Executes a statement; the answer stays null when the controller crashed over it. */
+  /** Executes a statement; returns null when the controller crashes before the answer. */
   private AdminResult execute(String sql) {
     AdminResult[] answer = new AdminResult[1];
-    host.execute(host.run(), () -> node.router().execute(sql, result -> answer[0] = result));
+    host.execute(
+        host.incarnation(), () -> node.router().execute(sql, result -> answer[0] = result));
     clock.advanceTimeBy(Duration.ofMillis(500));
     return answer[0];
   }
 
-  private long accept(String sql) {
-    for (int attempt = 0; attempt < MAX_RESTARTS_A_CHANGE; attempt++) {
+  private long executeUntilAccepted(String sql) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS_PER_CHANGE; attempt++) {
       AdminResult answer = execute(sql);
       if (answer != null && answer.sqlState().isEmpty()) {
         return Long.parseLong(answer.rows().get(0).get(0));
@@ -77,19 +78,19 @@
   }
 
   @Test
-  public void crashAtEveryWriteLosesAndRepeatsNothing() {
+  public void crashInEveryChangeNeitherLosesNorRepeatsAcceptedCommands() {
     boot(true);
     long version =
-        accept(
+        executeUntilAccepted(
             "CREATE GROUP g MEMBERS (m1 AT '127.0.0.1:1' REGION r ZONE z CONNECTIONS 4 SLOTS 2)"
                 + " COMMAND 'create'");
     for (int i = 0; i < CHANGES; i++) {
-      // The first write of the change crashes, with part of it on disk, or the one after it.
+      // The first or the second write of the change crashes, with part of an append on disk.
       disk.crashAfter(i % 2, length -> random.nextInt(length));
       String sql =
           "ALTER GROUP g SET max_staleness_ms = " + (FIRST_VALUE + i) + " COMMAND 'c" + i + "'";
-      long next = accept(sql);
-      assertEquals(next, version + 1, "each command makes one version, also when it is resent");
+      long next = executeUntilAccepted(sql);
+      assertEquals(next, version + 1, "each command creates one version, even if it is resent");
       version = next;
       if (i % 50 == 0) {
         host.kill();
