--- a/lab/src/test/java/org/streamcourse/lab/simulation/ScenarioTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/ScenarioTest.java
@@ -11,11 +11,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Every scenario holds every invariant, for many seeds. */
+/** Checks every invariant in every scenario for many seeds, and that runs are deterministic. */
 public class ScenarioTest {
   private static final long SEEDS = Long.getLong("streamcourse.seeds", 200);
 
-  /** Points that every run checks many times. */
+  /** Invariants that every run checks many times. */
   private static final List<String> ALWAYS_CHECKED =
       List.of(
           "read-your-writes",
@@ -69,23 +69,28 @@
     assertEquals(violations, List.of());
     FaultCounter checks = new FaultCounter();
     outcomes.forEach(each -> checks.addAll(each.history().checks()));
-    for (String point : ALWAYS_CHECKED) {
-      assertTrue(checks.counts().getOrDefault(point, 0L) >= SEEDS, point + " was hardly checked");
+    for (String invariant : ALWAYS_CHECKED) {
+      assertTrue(
+          checks.counts().getOrDefault(invariant, 0L) >= SEEDS,
+          invariant + " was checked less than once per seed");
     }
   }
 
   private static Outcome run(long seed, Scenario scenario) {
-    World world = new World(seed, new SimParts());
+    World world = new World(seed, new SimHooks());
     world.run(scenario);
     return new Outcome(seed, world.history(), world.faults());
   }
 
-  /** Two disks of three lost before one is repaired are more than the controllers bear. */
+  /**
+   * Guards against a scenario that loses the disks of two of three controllers, a majority, at
+   * once.
+   */
   @Test
-  public void twoAtOnceLosesNoTwoDisksTogether() {
+  public void twoAtOnceLosesDisksAtMostOnce() {
     String loss = "also " + Scenario.SECOND_MACHINE_LOST.label();
     for (long seed = 1; seed <= DRAWN_SEEDS; seed++) {
-      World world = new World(seed, new SimParts());
+      World world = new World(seed, new SimHooks());
       Scenario.TWO_AT_ONCE.start(world);
       long losses = world.history().events().stream().filter(event -> event.endsWith(loss)).count();
       assertTrue(losses <= 1, "seed " + seed + " loses " + losses);
@@ -112,12 +117,14 @@
     }
   }
 
-  /** Events are few and at fixed moments in some scenarios; the counts depend on every message. */
+  /**
+   * Includes counts, which depend on every message: some scenarios have few events at fixed times.
+   */
   private static Trace trace(Run run) {
-    World world = new World(run.seed(), new SimParts());
+    World world = new World(run.seed(), new SimHooks());
     world.run(run.scenario());
     History history = world.history();
-    assertTrue(history.events().size() > 5, run + " has a history");
+    assertTrue(history.events().size() > 5, run + " has too few events");
     return new Trace(
         history.events(), world.faults().counts(), history.checks().counts(), history.reads());
   }
--- a/lab/src/test/java/org/streamcourse/lab/simulation/ServiceFailoverTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/ServiceFailoverTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A primary that is lost, or leaves, is replaced while the fault lasts, and soon. */
+/** Bounds the time without writes when the primary fails or drains, while the fault persists. */
 public class ServiceFailoverTest {
   private static final long SEEDS = 20;
 
@@ -23,22 +23,23 @@
     };
   }
 
-  private static String worstGap(
-      long seed, ServiceScenario scenario, ServiceSize size, long mostMillis) {
+  private static String excessiveGap(
+      long seed, ServiceScenario scenario, ServiceSize size, long maxGapMillis) {
     ServiceWorld world = new ServiceWorld(seed, size);
     world.run(scenario::start);
     long gap = world.checks().longestWriteGapMillis();
-    return gap <= mostMillis ? "" : "seed " + seed + ": " + gap + " ms without a write";
+    return gap <= maxGapMillis ? "" : "seed " + seed + ": " + gap + " ms without a write";
   }
 
   @Test(dataProvider = "faults")
-  public void writesGoOnSoon(ServiceScenario scenario, ServiceSize size, long mostMillis) {
-    List<String> late =
+  public void writesResumeWithinBound(
+      ServiceScenario scenario, ServiceSize size, long maxGapMillis) {
+    List<String> excessive =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
-            .mapToObj(seed -> worstGap(seed, scenario, size, mostMillis))
+            .mapToObj(seed -> excessiveGap(seed, scenario, size, maxGapMillis))
             .filter(text -> !text.isEmpty())
             .toList();
-    assertEquals(String.join("; ", late), "");
+    assertEquals(String.join("; ", excessive), "");
   }
 }
--- a/lab/src/test/java/org/streamcourse/lab/simulation/ServiceScenarioTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/ServiceScenarioTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The decision code for self-registering members holds its promises under faults. */
+/** Checks the invariants of services with self-registering members in every scenario. */
 public class ServiceScenarioTest {
   private static final long SEEDS = 24;
   private static final long SYNCHRONOUS_SEEDS = 12;
@@ -52,13 +52,15 @@
     }
     FaultCounter checked = new FaultCounter();
     worlds.forEach(each -> checked.addAll(each.checks().checks()));
-    for (String point : ALWAYS_CHECKED) {
-      assertTrue(checked.counts().getOrDefault(point, 0L) >= SEEDS, point + " was hardly checked");
+    for (String invariant : ALWAYS_CHECKED) {
+      assertTrue(
+          checked.counts().getOrDefault(invariant, 0L) >= SEEDS,
+          invariant + " was checked less than once per seed");
     }
   }
 
   @Test
-  public void calmRunServesEverything() {
+  public void faultlessRunCompletesAllStatements() {
     for (long seed = 1; seed <= 10; seed++) {
       ServiceWorld world = new ServiceWorld(seed);
       world.run(any -> {});
@@ -83,7 +85,7 @@
   }
 
   @Test(dataProvider = "changesOfPrimary")
-  public void synchronousReplicasKeepWhatWasAcknowledged(ServiceScenario scenario) {
+  public void synchronousReplicasKeepAcknowledgedWrites(ServiceScenario scenario) {
     for (long seed = 1; seed <= SYNCHRONOUS_SEEDS; seed++) {
       ServiceWorld world = new ServiceWorld(seed, ServiceSize.DEFAULT.withSynchronousReplicas(1));
       world.run(scenario::start);
@@ -95,7 +97,7 @@
   }
 
   @DataProvider
-  public Object[][] formerLosses() {
+  public Object[][] seedsWithFormerLosses() {
     return new Object[][] {
       {ServiceScenario.MEMBERS_REPLACED, 14},
       {ServiceScenario.MEMBERS_REPLACED, 117},
@@ -107,11 +109,13 @@
   }
 
   /**
-   * A replica that started during a change received a commit that nobody else had, or a primary
-   * that a new leader took for a replica went on writing.
+   * Guards against two losses of acknowledged writes: a replica that started during a change of
+   * primary was the only one to receive a commit, or a primary that a new leader took for a replica
+   * went on writing.
    */
-  @Test(dataProvider = "formerLosses")
-  public void aReplicaThatStartsDuringAChangeLosesNothing(ServiceScenario scenario, long seed) {
+  @Test(dataProvider = "seedsWithFormerLosses")
+  public void replicaStartedDuringPrimaryChangeLosesNoAcknowledgedWrite(
+      ServiceScenario scenario, long seed) {
     ServiceWorld world = new ServiceWorld(seed, ServiceSize.DEFAULT.withSynchronousReplicas(1));
     world.run(scenario::start);
     assertEquals(
@@ -121,25 +125,24 @@
   }
 
   @DataProvider
-  public Object[][] formerLossesOfThreeFaults() {
+  public Object[][] seedsWithFormerLossesOfThreeFaults() {
     long[] seeds = {12, 21, 24, 43, 51, 57, 62, 63, 66, 80, 97, 114, 115, 119, 121, 132, 171, 182};
     return Arrays.stream(seeds).mapToObj(seed -> new Object[] {seed}).toArray(Object[][]::new);
   }
 
   /**
-   * Leaving members were promoted in turn while those that stay could not receive, a replica that
-   * no leader knew yet had acknowledged a commit, or the log of a member that was gone was waited
-   * for.
+   * Guards against three faults: draining members were promoted in turn while the other members
+   * could not receive, a replica that no leader knew yet had acknowledged a commit, or a change of
+   * primary waited for the log of a removed member.
    *
-   * <p>Seed 182: two members that leave led in turn, each 0.6 s, until the end, and nothing was
-   * served. Those that stay stood at 33 of 47 records through 13 changes ({@code replicas paused at
-   * i-m2=3:47, i-m4=3:33}), though each change resumed them: the simulated replicas received
-   * nothing after a resumption until the next commit, and none came. Real ones go on receiving.
-   * With replicas that do, the same faults and draws end with one change ({@code i-m4=3:47 ...
-   * orders i-m4}).
+   * <p>With seed 182, two draining members were primary in turn, each for 0.6 s, and no statement
+   * was served until the end. The other members stayed at 33 of 47 entries through 13 promotions,
+   * because the simulated replicas received nothing between resumption and the next commit.
+   * Replicas now receive missing entries on resumption, as real replicas do, and the same seed ends
+   * with one promotion.
    */
-  @Test(dataProvider = "formerLossesOfThreeFaults")
-  public void threeFaultsAtOnceLoseNothingThatWasAcknowledged(long seed) {
+  @Test(dataProvider = "seedsWithFormerLossesOfThreeFaults")
+  public void threeFaultsAtOnceLoseNoAcknowledgedWrite(long seed) {
     ServiceWorld world = new ServiceWorld(seed, ServiceSize.DEFAULT.withSynchronousReplicas(1));
     world.run(ServiceScenario.THREE_AT_ONCE::start);
     assertEquals(
--- a/lab/src/test/java/org/streamcourse/lab/simulation/ServiceUnsafeTwinTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/ServiceUnsafeVariantTest.java
@@ -16,11 +16,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** With a safeguard of statements taken out, the checker must see what it guards broken. */
-public class ServiceUnsafeTwinTest {
+/** Checks that the checker detects violations when a safeguard of statements is removed. */
+public class ServiceUnsafeVariantTest {
   private static final long SEEDS = 40;
 
-  /** A proxy whose commands lose a safeguard on their way. */
+  /** A fleet whose proxies' commands lose a safeguard before they reach a member. */
   private static final class UnsafeWorld extends ServiceWorld {
     private final UnaryOperator<MemberCommand> change;
 
@@ -90,14 +90,14 @@
         : command;
   }
 
-  /** Values that another session left on the connection stay. */
+  /** Keeps the values that another session has set on the connection. */
   private static MemberCommand withoutReset(MemberCommand command) {
     return command instanceof MemberCommand.ResetSession
         ? new MemberCommand.SetSessionValue("unrelated", "x")
         : command;
   }
 
-  /** All connections are opened for one tenant. */
+  /** Opens all connections for the same tenant. */
   private static MemberCommand withoutTenant(MemberCommand command) {
     return command instanceof MemberCommand.Introduce introduce
         ? new MemberCommand.Introduce(introduce.service(), introduce.member(), new TenantId("t0"))
@@ -105,23 +105,25 @@
   }
 
   @DataProvider
-  public Object[][] twins() {
+  public Object[][] variants() {
     return new Object[][] {
-      {"read-is-fresh", ServiceScenario.REPLICAS_BEHIND, op(ServiceUnsafeTwinTest::withoutFloor)},
+      {
+        "read-is-fresh", ServiceScenario.REPLICAS_BEHIND, op(ServiceUnsafeVariantTest::withoutFloor)
+      },
       {
         "read-is-fresh",
         ServiceScenario.MEMBERS_REPLACED,
-        op(ServiceUnsafeTwinTest::withoutPrimaryGuard)
+        op(ServiceUnsafeVariantTest::withoutPrimaryGuard)
       },
       {
         "session-is-its-own",
         ServiceScenario.DOCUMENTS_CHANGE,
-        op(ServiceUnsafeTwinTest::withoutReset)
+        op(ServiceUnsafeVariantTest::withoutReset)
       },
       {
         "runs-for-its-tenant",
         ServiceScenario.DOCUMENTS_CHANGE,
-        op(ServiceUnsafeTwinTest::withoutTenant)
+        op(ServiceUnsafeVariantTest::withoutTenant)
       }
     };
   }
@@ -130,8 +132,8 @@
     return operator;
   }
 
-  @Test(dataProvider = "twins")
-  public void theCheckerSeesIt(
+  @Test(dataProvider = "variants")
+  public void checkerDetectsTheMissingSafeguard(
       String invariant, ServiceScenario scenario, UnaryOperator<MemberCommand> change) {
     boolean seen =
         LongStream.rangeClosed(1, SEEDS)
@@ -140,12 +142,12 @@
             .peek(world -> world.run(scenario::start))
             .flatMap(world -> world.checks().violations().stream())
             .anyMatch(text -> text.contains(' ' + invariant + ':'));
-    assertTrue(seen, invariant + " held without its safeguard in " + scenario.label());
+    assertTrue(seen, invariant + " was not violated without its safeguard in " + scenario.label());
   }
 
-  /** Proxies that count a limit in windows that are too short let too much through. */
+  /** Checks that the checker detects proxies that count a limit over windows that are too short. */
   @Test
-  public void theCheckerSeesALimitThatIsExceeded() {
+  public void checkerDetectsAnExceededLimit() {
     boolean seen =
         LongStream.rangeClosed(1, SEEDS / 10)
             .parallel()
@@ -160,6 +162,6 @@
             .peek(world -> world.run(ServiceScenario.LIMIT_LOWERED::start))
             .flatMap(world -> world.checks().violations().stream())
             .anyMatch(text -> text.contains(" limit-holds:"));
-    assertTrue(seen, "a limit held although proxies counted wrongly");
+    assertTrue(seen, "limit-holds was not violated with windows that are too short");
   }
 }
--- a/lab/src/test/java/org/streamcourse/lab/simulation/UnsafeTwinTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/UnsafeVariantTest.java
@@ -21,14 +21,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** With a safeguard taken out, the checker must see the invariant broken that it guards. */
-public class UnsafeTwinTest {
+/** Checks that the checker detects the violation of an invariant whose safeguard is removed. */
+public class UnsafeVariantTest {
   private static final long SEEDS = 48;
-  private static final long FOREVER_MILLIS = 1_000_000_000;
+  private static final long UNLIMITED_MILLIS = 1_000_000_000;
 
-  /** A disk whose writes are lost by a crash, as if they had not been synced. */
+  /** A disk that loses its last writes in a crash, as if they had not been synced. */
   private static final class UnsyncedDisk extends SimDisk {
-    private static final int KEPT_BACK = 6;
+    private static final int UNSYNCED_WRITES = 6;
     private final java.util.ArrayDeque<Runnable> unsynced = new java.util.ArrayDeque<>();
 
     @Override
@@ -39,23 +39,23 @@
 
     @Override
     public void appendAndSync(String name, byte[] bytes) {
-      later(() -> super.appendAndSync(name, bytes));
+      defer(() -> super.appendAndSync(name, bytes));
     }
 
     @Override
     public void replace(String name, byte[] bytes) {
-      later(() -> super.replace(name, bytes));
+      defer(() -> super.replace(name, bytes));
     }
 
-    private void later(Runnable write) {
+    private void defer(Runnable write) {
       unsynced.add(write);
-      while (unsynced.size() > KEPT_BACK) {
+      while (unsynced.size() > UNSYNCED_WRITES) {
         unsynced.poll().run();
       }
     }
   }
 
-  /** A member that confirms that it is fenced, and goes on as before. */
+  /** A member that reports itself fenced but remains primary. */
   private static final class UnfencedMember extends SimMember {
     private long claimedTerm;
 
@@ -81,20 +81,20 @@
 
     @Override
     MemberStatus status() {
-      MemberStatus honest = super.status();
+      MemberStatus actual = super.status();
       if (claimedTerm == 0) {
-        return honest;
+        return actual;
       }
       long claimed = claimedTerm;
       claimedTerm = 0;
       return new MemberStatus(
-          claimed, MemberRole.FENCED, "", honest.received(), TermPosition.ZERO, honest.applied());
+          claimed, MemberRole.FENCED, "", actual.received(), TermPosition.ZERO, actual.applied());
     }
   }
 
-  /** A replica that claims to have received whatever it is asked for. */
-  private static final class BoastfulMember extends SimMember {
-    BoastfulMember(
+  /** A replica that reports every position as received. */
+  private static final class OverreportingMember extends SimMember {
+    OverreportingMember(
         String name,
         SimHost host,
         SimNetwork network,
@@ -105,21 +105,21 @@
 
     @Override
     MemberStatus status() {
-      MemberStatus honest = super.status();
-      TermPosition all = new TermPosition(honest.term(), FOREVER_MILLIS);
+      MemberStatus actual = super.status();
+      TermPosition all = new TermPosition(actual.term(), UNLIMITED_MILLIS);
       return new MemberStatus(
-          honest.term(),
-          honest.role(),
-          honest.upstream(),
-          honest.received(),
-          honest.role() == MemberRole.REPLICA ? all : honest.matched(),
-          honest.applied());
+          actual.term(),
+          actual.role(),
+          actual.upstream(),
+          actual.received(),
+          actual.role() == MemberRole.REPLICA ? all : actual.matched(),
+          actual.applied());
     }
   }
 
-  /** A member that calls a connection idle in the middle of a transaction. */
-  private static final class IdleSayingMember extends SimMember {
-    IdleSayingMember(
+  /** A member that reports a connection as idle during a transaction. */
+  private static final class IdleReportingMember extends SimMember {
+    IdleReportingMember(
         String name,
         SimHost host,
         SimNetwork network,
@@ -134,9 +134,9 @@
     }
   }
 
-  /** A member that lets a request's name be claimed again. */
-  private static final class ForgetfulMember extends SimMember {
-    ForgetfulMember(
+  /** A member that allows a request key to be claimed again. */
+  private static final class DuplicateClaimMember extends SimMember {
+    DuplicateClaimMember(
         String name,
         SimHost host,
         SimNetwork network,
@@ -151,9 +151,9 @@
     }
   }
 
-  /** Makes members of one unsafe kind. */
-  private interface MemberMaker {
-    SimMember make(
+  /** Creates members of one unsafe variant. */
+  private interface MemberFactory {
+    SimMember create(
         String name,
         SimHost host,
         SimNetwork network,
@@ -161,8 +161,8 @@
         Map<String, SimMember> peers);
   }
 
-  private static SimParts members(MemberMaker maker) {
-    return new SimParts() {
+  private static SimHooks members(MemberFactory factory) {
+    return new SimHooks() {
       @Override
       SimMember newMember(
           String name,
@@ -170,14 +170,14 @@
           SimNetwork network,
           History history,
           Map<String, SimMember> peers) {
-        return maker.make(name, host, network, history, peers);
+        return factory.create(name, host, network, history, peers);
       }
     };
   }
 
-  /** Replaces messages on their way. */
-  private static SimParts messages(java.util.function.UnaryOperator<Object> change) {
-    return new SimParts() {
+  /** Replaces messages in transit. */
+  private static SimHooks messages(java.util.function.UnaryOperator<Object> change) {
+    return new SimHooks() {
       @Override
       Object transmit(String from, String to, Object message) {
         return change.apply(message);
@@ -210,7 +210,7 @@
             open.user(),
             open.purpose(),
             open.floor(),
-            FOREVER_MILLIS,
+            UNLIMITED_MILLIS,
             open.budgetMillis(),
             open.settings(),
             open.unit())
@@ -223,8 +223,8 @@
         : message;
   }
 
-  private static SimParts controllerDisks() {
-    return new SimParts() {
+  private static SimHooks controllerDisks() {
+    return new SimHooks() {
       @Override
       SimDisk newDisk() {
         return new UnsyncedDisk();
@@ -232,8 +232,8 @@
     };
   }
 
-  private static SimParts proxyDisks() {
-    return new SimParts() {
+  private static SimHooks proxyDisks() {
+    return new SimHooks() {
       @Override
       SimDisk newProxyDisk() {
         return new UnsyncedDisk();
@@ -241,8 +241,8 @@
     };
   }
 
-  private static SimParts statements(String removed) {
-    return new SimParts() {
+  private static SimHooks statements(String removed) {
+    return new SimHooks() {
       @Override
       String operatorStatement(String sql) {
         return sql.replaceAll(removed, "");
@@ -250,9 +250,9 @@
     };
   }
 
-  /** Edges that take a lost link for a request that was never delivered. */
-  private static SimParts lossAsRefusal() {
-    return new SimParts() {
+  /** Edges that treat requests on a lost link as never delivered. */
+  private static SimHooks lossAsRefusal() {
+    return new SimHooks() {
       private final Map<String, List<Object>> opened = new HashMap<>();
 
       @Override
@@ -271,27 +271,27 @@
     };
   }
 
-  /** Nodes that go on without the controllers' word. */
-  private static SimParts unconfirmedNodes() {
+  /** Nodes that continue to serve without confirmation by the controllers. */
+  private static SimHooks unconfirmedNodes() {
     ControlSettings safe = ControlSettings.DEFAULT;
     return nodes(
-        timing(safe, FOREVER_MILLIS, FOREVER_MILLIS, safe.nodeLostMillis(), FOREVER_MILLIS));
+        timing(safe, UNLIMITED_MILLIS, UNLIMITED_MILLIS, safe.nodeLostMillis(), UNLIMITED_MILLIS));
   }
 
-  /** Nodes that take no new work without the controllers' word, and keep their connections. */
-  private static SimParts nodesThatKeepConnections() {
+  /** Nodes that accept no new work without confirmation, but keep their member connections. */
+  private static SimHooks nodesThatKeepConnections() {
     ControlSettings safe = ControlSettings.DEFAULT;
     return nodes(
         timing(
             safe,
             safe.confirmationMillis(),
-            FOREVER_MILLIS,
+            UNLIMITED_MILLIS,
             safe.nodeLostMillis(),
             safe.releaseMillis()));
   }
 
-  private static SimParts nodes(ControlSettings control) {
-    return new SimParts() {
+  private static SimHooks nodes(ControlSettings control) {
+    return new SimHooks() {
       @Override
       ProxyNode.Settings proxySettings() {
         ProxyNode.Settings safe = ProxyNode.Settings.DEFAULT;
@@ -301,9 +301,9 @@
     };
   }
 
-  /** Controllers that hand on the part of a lost node at once. */
-  private static SimParts hastyControllers() {
-    return new SimParts() {
+  /** Controllers that reassign the allowance of a lost node too early. */
+  private static SimHooks controllersWithShortNodeTimeout() {
+    return new SimHooks() {
       @Override
       ControlSettings controlSettings() {
         ControlSettings safe = ControlSettings.DEFAULT;
@@ -329,68 +329,79 @@
         safe.quotas());
   }
 
-  /** Proxies that are stopped without the steps of a planned stop. */
-  private static final Consumer<World> ROUGH_STOP = Faults::killProxies;
+  /** Kills proxies instead of stopping them in the steps of a planned stop. */
+  private static final Consumer<World> KILL_PROXIES = Faults::killProxies;
 
-  private record Twin(String invariant, Scenario scenario, Supplier<SimParts> parts) {}
+  private record Variant(String invariant, Scenario scenario, Supplier<SimHooks> hooks) {}
 
   @DataProvider
-  public Object[][] twins() {
+  public Object[][] variants() {
     return new Object[][] {
-      twin(
+      variant(
           "read-your-writes",
           Scenario.REPLICA_BEHIND,
-          () -> messages(UnsafeTwinTest::withoutFloor)),
-      twin("staleness", Scenario.REPLICA_BEHIND, () -> messages(UnsafeTwinTest::withoutStaleness)),
-      twin("acknowledged-is-kept", Scenario.PRIMARY_KILLED, () -> members(BoastfulMember::new)),
-      twin("acknowledged-is-kept", Scenario.PRIMARY_UNHEARD, () -> members(UnfencedMember::new)),
-      twin("at-most-once", Scenario.PROXY_KILLED, UnsafeTwinTest::lossAsRefusal),
-      twin("at-most-once", Scenario.PRIMARY_CUT, () -> members(ForgetfulMember::new)),
-      twin("no-mixing", Scenario.CALM, () -> members(IdleSayingMember::new)),
-      twin("whole-own-answer", Scenario.CALM, () -> messages(UnsafeTwinTest::withoutRows)),
-      twin("accepted-is-kept", Scenario.CONTROLLERS_CRASH, UnsafeTwinTest::controllerDisks),
-      twin("version-never-reverts", Scenario.PROXY_KILLED, UnsafeTwinTest::proxyDisks),
-      twin("one-winner-a-version", Scenario.OPERATORS_RACE, () -> statements(" AT VERSION \\d+")),
-      twin("command-runs-once", Scenario.COMMAND_RESENT, () -> statements(" COMMAND '.*'")),
-      twin("drained", Scenario.DRAIN_UNHEARD, UnsafeTwinTest::unconfirmedNodes),
-      twin("connection-limit", Scenario.PROXY_FROZEN, UnsafeTwinTest::hastyControllers),
-      twin("connection-limit", Scenario.ALLOWANCE_LAPSED, UnsafeTwinTest::nodesThatKeepConnections),
+          () -> messages(UnsafeVariantTest::withoutFloor)),
+      variant(
+          "staleness",
+          Scenario.REPLICA_BEHIND,
+          () -> messages(UnsafeVariantTest::withoutStaleness)),
+      variant(
+          "acknowledged-is-kept", Scenario.PRIMARY_KILLED, () -> members(OverreportingMember::new)),
+      variant("acknowledged-is-kept", Scenario.PRIMARY_UNHEARD, () -> members(UnfencedMember::new)),
+      variant("at-most-once", Scenario.PROXY_KILLED, UnsafeVariantTest::lossAsRefusal),
+      variant("at-most-once", Scenario.PRIMARY_CUT, () -> members(DuplicateClaimMember::new)),
+      variant("no-mixing", Scenario.CALM, () -> members(IdleReportingMember::new)),
+      variant("whole-own-answer", Scenario.CALM, () -> messages(UnsafeVariantTest::withoutRows)),
+      variant("accepted-is-kept", Scenario.CONTROLLERS_CRASH, UnsafeVariantTest::controllerDisks),
+      variant("version-never-reverts", Scenario.PROXY_KILLED, UnsafeVariantTest::proxyDisks),
+      variant(
+          "one-winner-a-version", Scenario.OPERATORS_RACE, () -> statements(" AT VERSION \\d+")),
+      variant("command-runs-once", Scenario.COMMAND_RESENT, () -> statements(" COMMAND '.*'")),
+      variant("drained", Scenario.DRAIN_UNHEARD, UnsafeVariantTest::unconfirmedNodes),
+      variant(
+          "connection-limit",
+          Scenario.PROXY_FROZEN,
+          UnsafeVariantTest::controllersWithShortNodeTimeout),
+      variant(
+          "connection-limit",
+          Scenario.ALLOWANCE_LAPSED,
+          UnsafeVariantTest::nodesThatKeepConnections),
     };
   }
 
-  private static Object[] twin(String invariant, Scenario scenario, Supplier<SimParts> parts) {
-    return new Object[] {new Twin(invariant, scenario, parts)};
+  private static Object[] variant(String invariant, Scenario scenario, Supplier<SimHooks> hooks) {
+    return new Object[] {new Variant(invariant, scenario, hooks)};
   }
 
-  @Test(dataProvider = "twins")
-  public void checkerSeesTheInvariantBroken(Twin twin) {
+  @Test(dataProvider = "variants")
+  public void checkerDetectsTheViolation(Variant variant) {
     boolean seen =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
-            .mapToObj(seed -> new World(seed, twin.parts().get()))
+            .mapToObj(seed -> new World(seed, variant.hooks().get()))
             .anyMatch(
                 world -> {
-                  world.run(twin.scenario());
-                  return breaks(world, twin.invariant());
+                  world.run(variant.scenario());
+                  return violates(world, variant.invariant());
                 });
-    assertTrue(seen, twin.invariant() + " was never seen broken");
+    assertTrue(seen, variant.invariant() + " was never violated");
   }
 
   @Test
-  public void checkerSeesAStopThatCutsRequests() {
+  public void checkerDetectsAStopThatInterruptsRequests() {
     boolean seen =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
-            .mapToObj(seed -> new World(seed, new SimParts()))
+            .mapToObj(seed -> new World(seed, new SimHooks()))
             .anyMatch(
                 world -> {
-                  world.run(true, ROUGH_STOP);
-                  return breaks(world, "planned-stop");
+                  world.run(true, KILL_PROXIES);
+                  return violates(world, "planned-stop");
                 });
-    assertTrue(seen, "planned-stop was never seen broken");
+    assertTrue(seen, "planned-stop was never violated");
   }
 
-  private static boolean breaks(World world, String invariant) {
+  private static boolean violates(World world, String invariant) {
     return world.history().violations().stream()
         .anyMatch(each -> each.contains(" " + invariant + ":"));
   }
