--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimMemberSession.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimMemberSession.java
@@ -341,7 +341,7 @@
     return answers;
   }
 
-  /** Opens a transaction that holds the name of a request; its one statement follows. */
+  /** Opens a transaction that claims a request key; the single statement of the request follows. */
   private List<byte[]> claim(String key) {
     member.history().statementOnConnection(!inTransaction, "claim within " + transactionTag);
     member.history().unitStarted(member.id(), DRAIN_GRACE_MILLIS);
--- a/lab/src/main/java/org/streamcourse/lab/simulation/SimNetwork.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/SimNetwork.java
@@ -144,8 +144,8 @@
 
   /**
    * Resets the link from one running process to another, or its pending dial; messages in transit
-   * are lost. Each process is task after a random delay, as by a network thread that waits for a
-   * processor, so the notification is not ordered with other messages received or sent.
+   * are lost. Each process is notified after a random delay, as by a network thread that waits for
+   * a processor, so the notification is not ordered with other messages received or sent.
    */
   void resetLink(String from, String to) {
     SimHost sender = hosts.get(from);
