--- a/server/src/main/java/org/streamcourse/connection/backend/FairQueue.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/FairQueue.java
@@ -10,14 +10,13 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for a turn, by share: shares take turns, and within a share the first to come
- * is the first to go. So a share with many requests delays one with few by one request for each of
- * its own.
+ * Round-robin queue of requests over shares, first in, first out within a share. A share with many
+ * requests therefore delays another share by at most one request for each request of that share.
  *
- * @param <T> what waits
+ * @param <T> type of the waiting requests
  */
 final class FairQueue<T> {
-  /** Shares that have requests, the one whose turn it is first. */
+  /** Non-empty shares in the order in which they are served next. */
   private final Map<String, Deque<T>> shares = new LinkedHashMap<>();
 
   private int size;
@@ -35,7 +34,7 @@
     size++;
   }
 
-  /** Takes the request whose turn it is; the queue must not be empty. */
+  /** Removes and returns the next request; the queue must not be empty. */
   T poll() {
     Map.Entry<String, Deque<T>> turn = shares.entrySet().iterator().next();
     String share = turn.getKey();
@@ -48,7 +47,7 @@
     return next;
   }
 
-  /** Number of requests that would have their turn before a new one of a share. */
+  /** Returns the number of requests that would be served before a new request of a share. */
   int aheadOf(String share) {
     int own = lengthOf(share);
     int ahead = own;
@@ -63,7 +62,10 @@
     return requests == null ? 0 : requests.size();
   }
 
-  /** Takes the newest request of the longest share, if a share has at least two more than one. */
+  /**
+   * Removes and returns the newest request of the longest share, if that share has at least two
+   * more requests than the given share.
+   */
   Optional<T> pollOfLongerThan(String share) {
     String longest = share;
     for (String each : shares.keySet()) {
@@ -76,7 +78,7 @@
     return Optional.of(shares.get(longest).pollLast());
   }
 
-  /** All requests, by share. */
+  /** Returns all requests, grouped by share. */
   List<T> all() {
     return shares.values().stream().flatMap(Deque::stream).toList();
   }
--- a/server/src/main/java/org/streamcourse/connection/backend/MemberMonitor.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/MemberMonitor.java
@@ -19,19 +19,19 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Keeps one connection to a member, on which it learns the member's status and gives orders. The
- * member reports changes of its status as notifications; a regular query shows that it still
- * answers.
+ * Keeps one connection to a member open to receive the member's status and to send it orders. The
+ * member reports changes of its status as notifications; a periodic status query checks that the
+ * member still answers.
  */
 public final class MemberMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(MemberMonitor.class);
-  private static final long PING_MILLIS = 250;
-  private static final long SILENCE_MILLIS = 800;
-  private static final long RECONNECT_MILLIS = 50;
+  private static final long PING_INTERVAL_MILLIS = 250;
+  private static final long REPLY_TIMEOUT_MILLIS = 800;
+  private static final long RECONNECT_DELAY_MILLIS = 50;
 
-  /** A query that waits for its answer. */
+  /** A query whose reply has not arrived yet. */
   private static final class PendingQuery {
-    final List<Consumer<Optional<MemberStatus>>> answers = new ArrayList<>();
+    final List<Consumer<Optional<MemberStatus>>> callbacks = new ArrayList<>();
     final long sentAt;
     MemberStatus status;
 
@@ -40,7 +40,7 @@
     }
 
     void complete(Optional<MemberStatus> result) {
-      answers.forEach(answer -> answer.accept(result));
+      callbacks.forEach(callback -> callback.accept(result));
     }
   }
 
@@ -54,11 +54,11 @@
   private MemberSession session;
   private boolean connecting;
 
-  /** Connections that the member was asked to end. */
+  /** Number of connections that are being closed and that the member may still hold open. */
   private int ending;
 
-  /** Waits for a connect that was under way when the monitor was stopped. */
-  private Runnable whenConnected = () -> {};
+  /** Completes a stop that was requested while a connect was in progress. */
+  private Runnable pendingStop = () -> {};
 
   private boolean stopped = true;
   private volatile boolean reachable;
@@ -69,8 +69,8 @@
    * Creates a monitor.
    *
    * @param worker worker on which the monitor runs
-   * @param connector opens its connection
-   * @param endGraceMillis longest time that a connection counts which the member was asked to end
+   * @param connector opens the monitor's connection
+   * @param endGraceMillis longest time for which a connection that is being closed counts as open
    * @param name member's name for logs
    */
   public MemberMonitor(
@@ -81,17 +81,18 @@
     this.name = name;
   }
 
-  /** Starts to connect and to ask, unless it does so already; on the monitor's worker. */
+  /** Starts to connect and to query the status, unless started already; on the monitor's worker. */
   public void start() {
     if (stopped) {
       stopped = false;
-      timer = worker.repeat(PING_MILLIS, this::tick);
+      timer = worker.repeat(PING_INTERVAL_MILLIS, this::tick);
       tick();
     }
   }
 
   /**
-   * Ends the connection; on the monitor's worker. Nobody hears that the member is out of reach.
+   * Closes the connection; on the monitor's worker. Listeners are not notified that the member is
+   * no longer reachable.
    *
    * @param ended runs on the monitor's worker when the connection no longer counts at the member
    */
@@ -105,16 +106,16 @@
       end(last, ended);
       failPending();
     } else if (connecting) {
-      whenConnected = ended;
+      pendingStop = ended;
     } else {
       ended.run();
     }
   }
 
-  /** Asks the member to end a connection; after a grace it counts no longer in any case. */
+  /** Requests the member to close a connection, which counts for the grace period at most. */
   private void end(MemberSession last, Runnable ended) {
     ending++;
-    SessionEnd.begin(worker, last, endGraceMillis, () -> worker.execute(() -> hasEnded(ended)));
+    SessionCloser.begin(worker, last, endGraceMillis, () -> worker.execute(() -> hasEnded(ended)));
   }
 
   private void hasEnded(Runnable ended) {
@@ -123,8 +124,8 @@
   }
 
   /**
-   * Returns the number of connections that the monitor needs and those that the member may not have
-   * ended yet; on the monitor's worker.
+   * Returns the number of connections to reserve for the monitor: the one in use and those that the
+   * member may not have closed yet; on the monitor's worker.
    *
    * @return at least 1
    */
@@ -133,7 +134,7 @@
   }
 
   /**
-   * Adds a listener that hears, on the monitor's worker, that status or reachability changed.
+   * Adds a listener that is notified, on the monitor's worker, when status or reachability changes.
    *
    * @param listener the listener
    */
@@ -142,59 +143,60 @@
   }
 
   /**
-   * Tells whether the member answers.
+   * Returns whether the member answers; safe from any thread.
    *
-   * @return true while it does; safe from any thread
+   * @return true while it answers
    */
   public boolean isReachable() {
     return reachable;
   }
 
   /**
-   * Returns what the member said last.
+   * Returns the status that the member reported last; safe from any thread.
    *
-   * @return status; safe from any thread
+   * @return status
    */
   public MemberStatus status() {
     return status;
   }
 
   /**
-   * Asks the member for its status; requests that come while a query waits share the next one.
+   * Queries the member's status; calls made before the next query is sent share that query.
    *
-   * @param answer gets the status as of some time after this call, or empty when the member does
-   *     not answer; on the monitor's worker
+   * @param callback receives the status as of some time after this call, or empty when the member
+   *     does not answer; on the monitor's worker
    */
-  public void refresh(Consumer<Optional<MemberStatus>> answer) {
+  public void refresh(Consumer<Optional<MemberStatus>> callback) {
     worker.execute(
         () -> {
           if (session == null) {
-            answer.accept(Optional.empty());
+            callback.accept(Optional.empty());
             return;
           }
           if (nextRefresh == null) {
             nextRefresh = new PendingQuery(worker.now());
             worker.execute(this::sendRefresh);
           }
-          nextRefresh.answers.add(answer);
+          nextRefresh.callbacks.add(callback);
         });
   }
 
   /**
-   * Gives an order.
+   * Sends an order to the member.
    *
-   * @param statement statement that carries it out and returns the status
-   * @param answer gets the status afterwards, or empty when it failed; on the monitor's worker
+   * @param statement statement that carries out the order and returns the status
+   * @param callback receives the status afterwards, or empty when the order failed; on the
+   *     monitor's worker
    */
-  public void order(String statement, Consumer<Optional<MemberStatus>> answer) {
+  public void order(String statement, Consumer<Optional<MemberStatus>> callback) {
     worker.execute(
         () -> {
           if (session == null) {
-            answer.accept(Optional.empty());
+            callback.accept(Optional.empty());
             return;
           }
           PendingQuery query = new PendingQuery(worker.now());
-          query.answers.add(answer);
+          query.callbacks.add(callback);
           pending.add(query);
           session.send(Frontend.query(statement));
         });
@@ -219,14 +221,14 @@
       connect();
       return;
     }
-    if (!pending.isEmpty() && worker.now() - pending.peek().sentAt > SILENCE_MILLIS) {
-      lose("no answer for " + SILENCE_MILLIS + " ms");
+    if (!pending.isEmpty() && worker.now() - pending.peek().sentAt > REPLY_TIMEOUT_MILLIS) {
+      disconnect("no reply for " + REPLY_TIMEOUT_MILLIS + " ms");
       return;
     }
     refresh(any -> {});
   }
 
-  /** Does nothing when a retry comes after the regular tick has connected already. */
+  /** Connects, unless the periodic tick has connected before a scheduled retry runs. */
   private void connect() {
     if (connecting || stopped || session != null) {
       return;
@@ -242,11 +244,11 @@
   private void connected(MemberSession opened) {
     connecting = false;
     if (stopped) {
-      end(opened, takeWhenConnected());
+      end(opened, takePendingStop());
       return;
     }
     session = opened;
-    opened.listen(new Answers(opened));
+    opened.listen(new ReplyListener(opened));
     pending.add(new PendingQuery(worker.now()));
     opened.send(Frontend.query(MemberStatements.LISTEN));
     refresh(any -> {});
@@ -254,26 +256,26 @@
 
   private void connectFailed(Throwable cause) {
     connecting = false;
-    LOG.debug("member {} refuses the monitor: {}", name, cause.toString());
+    LOG.debug("member {} did not accept the monitor's connection: {}", name, cause.toString());
     if (stopped) {
-      takeWhenConnected().run();
+      takePendingStop().run();
       return;
     }
     setReachable(false);
-    worker.schedule(RECONNECT_MILLIS, this::connect);
+    worker.schedule(RECONNECT_DELAY_MILLIS, this::connect);
   }
 
-  private Runnable takeWhenConnected() {
-    Runnable waiting = whenConnected;
-    whenConnected = () -> {};
-    return waiting;
+  private Runnable takePendingStop() {
+    Runnable taken = pendingStop;
+    pendingStop = () -> {};
+    return taken;
   }
 
-  private void lose(String why) {
+  private void disconnect(String cause) {
     if (session == null) {
       return;
     }
-    LOG.debug("lost member {}: {}", name, why);
+    LOG.debug("monitor lost its connection to member {}: {}", name, cause);
     MemberSession lost = session;
     session = null;
     lost.close();
@@ -324,15 +326,15 @@
         }
       }
       default -> {
-        // Columns, tags and errors: an error leaves the query without status.
+        // Columns and tags are not needed; after an error the query completes without a status.
       }
     }
   }
 
-  private final class Answers implements MemberSession.Listener {
+  private final class ReplyListener implements MemberSession.Listener {
     private final MemberSession from;
 
-    Answers(MemberSession from) {
+    ReplyListener(MemberSession from) {
       this.from = from;
     }
 
@@ -343,7 +345,7 @@
 
     @Override
     public void onReadComplete() {
-      // Messages are handled one by one.
+      // Each message is handled on arrival.
     }
 
     @Override
@@ -351,7 +353,7 @@
       worker.execute(
           () -> {
             if (from == session) {
-              lose(cause);
+              disconnect(cause);
             }
           });
     }
--- a/server/src/main/java/org/streamcourse/connection/backend/MemberPool.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/MemberPool.java
@@ -16,38 +16,39 @@
 import reactor.core.publisher.Mono;
 
 /**
- * A node's connections to one member and its slots for running statements there, both within the
- * allowance that the controllers gave to this node.
+ * A node's connections to one member and its slots for running statements there, both within this
+ * node's allowance, which the controllers set.
  *
- * <p>A connection that was given up, and the slot of what still runs on it, counts until the member
- * has ended it: a member that is slow, frozen or cut off for a while must not find more at work
- * than its limits when it goes on.
+ * <p>A discarded connection, and the slot of a statement that may still run on it, counts until the
+ * member has closed the connection. Otherwise a member that was slow, stopped or partitioned could
+ * run more connections or statements than its limits allow when it resumes.
  *
- * <p>Callers get either a grant or a refusal through {@link Waiter}, never both, and always outside
- * the pool's lock. A request that can't be served before its deadline is refused as soon as that is
- * known: at once when the queue is full or too long for the observed speed, else at its deadline.
+ * <p>Each request is either granted or refused through {@link Waiter}, never both, and always
+ * outside the pool's lock. A request that can't be served before its deadline is refused as soon as
+ * that is known: at once when the queue is full or its expected wait is too long, else at the
+ * deadline.
  */
 public final class MemberPool {
-  /** What a request for a connection or a slot hears. */
+  /** Receives the outcome of a request for a connection or a slot. */
   public interface Waiter {
     /**
      * The request is granted.
      *
-     * @param entry connection, or null when only a slot was asked for
+     * @param entry connection, or null when only a slot was requested
      */
     void granted(PoolEntry entry);
 
     /**
-     * The request is refused; nothing was taken.
+     * The request is refused; it holds neither a connection nor a slot.
      *
-     * @param retryAfterMillis when to try again
+     * @param retryAfterMillis time after which a retry is reasonable
      */
     void refused(long retryAfterMillis);
   }
 
   private record Request(Waiter waiter, long deadline) {}
 
-  private static final int SMOOTHING = 8;
+  private static final int SMOOTHING_DIVISOR = 8;
   private static final long NO_SWEEP = Long.MAX_VALUE;
   private static final long MIN_RETRY_MILLIS = 5;
 
@@ -57,31 +58,31 @@
   private final ReentrantLock lock = new ReentrantLock();
   private final Deque<PoolEntry> idle = new ArrayDeque<>();
 
-  /** Starting requests, which need a connection and a slot. */
+  /** Requests that start new work and need a connection and a slot. */
   private final FairQueue<Request> starting = new FairQueue<>();
 
-  /** Statements of open transactions, which have a connection and need a slot; these go first. */
+  /** Statements of open transactions, which have a connection and need a slot; served first. */
   private final Deque<Request> continuing = new ArrayDeque<>();
 
   private int connectionAllowance;
   private int connectionLimit;
   private int slotLimit;
 
-  /** Slots for open transactions: the larger, earlier limit until this node has shrunk. */
-  private int heldSlotLimit;
+  /** Slot limit for open transactions: the largest earlier limit until the pool has shrunk. */
+  private int transactionSlotLimit;
 
-  /** Connections that the member may hold open, those being ended included. */
+  /** Connections that the member may hold open, including those being closed. */
   private int open;
 
   private int ending;
   private int connecting;
   private int slotsInUse;
-  private long holdMicrosAverage;
+  private long averageHeldMicros;
   private long connectAllowedAt;
   private long sweepAt = NO_SWEEP;
   private Disposable sweepTimer = () -> {};
   private boolean closed;
-  private Runnable shrunk = () -> {};
+  private Runnable whenShrunk = () -> {};
 
   /**
    * Creates a pool without any allowance.
@@ -97,13 +98,13 @@
   }
 
   /**
-   * Sets the allowance. When it shrinks, idle connections are ended now and used ones when they
-   * come back. Until then nobody else is given what this node still uses, so open transactions may
-   * go on with the slots that they had.
+   * Sets the allowance. When it shrinks, idle connections are closed now and busy connections when
+   * they are released. Until then no other node is granted what this node still uses, so open
+   * transactions may continue with the earlier slot limit.
    *
-   * @param connections most connections of this node, monitor included
-   * @param slots most running statements
-   * @param reserved connections among them that the pool must leave to the monitor
+   * @param connections maximum number of connections of this node, including the monitor's
+   * @param slots maximum number of running statements
+   * @param reserved number of these connections that are reserved for the monitor
    * @param onShrunk runs once the pool holds no more than allowed, possibly at once
    */
   public void setLimits(int connections, int slots, int reserved, Runnable onShrunk) {
@@ -112,8 +113,8 @@
           connectionAllowance = connections;
           connectionLimit = Math.max(0, connections - reserved);
           slotLimit = slots;
-          heldSlotLimit = Math.max(heldSlotLimit, slots);
-          shrunk = onShrunk;
+          transactionSlotLimit = Math.max(transactionSlotLimit, slots);
+          whenShrunk = onShrunk;
           closeExcessIdle(after);
           if (connectionLimit == 0) {
             refuseAll(starting.all(), after);
@@ -126,9 +127,10 @@
   }
 
   /**
-   * Sets how many connections of the allowance are left to the monitor, when these become fewer.
+   * Sets the number of connections of the allowance that are reserved for the monitor; called when
+   * that number has fallen.
    *
-   * @param reserved connections that the pool must leave
+   * @param reserved number of reserved connections
    */
   public void setReserved(int reserved) {
     locked(
@@ -140,11 +142,11 @@
   }
 
   /**
-   * Asks for a connection together with a slot.
+   * Requests a connection together with a slot.
    *
-   * @param share whose request it is; shares are served in turn
-   * @param budgetMillis time within which it must be granted
-   * @param waiter hears the outcome
+   * @param share share that the request counts for; shares are served in turn
+   * @param budgetMillis time within which the request must be granted
+   * @param waiter receives the outcome
    */
   public void acquire(String share, long budgetMillis, Waiter waiter) {
     Request request = new Request(waiter, worker.now() + budgetMillis);
@@ -152,11 +154,11 @@
   }
 
   /**
-   * Asks for a slot for the next statement of a transaction, whose connection is held already. Such
-   * requests go before those that start new work, since open transactions keep locks.
+   * Requests a slot for the next statement of a transaction, which holds a connection already. Such
+   * requests are served before those that start new work, because open transactions hold locks.
    *
-   * @param budgetMillis time within which it must be granted
-   * @param waiter hears the outcome
+   * @param budgetMillis time within which the request must be granted
+   * @param waiter receives the outcome
    */
   public void acquireSlot(long budgetMillis, Waiter waiter) {
     Request request = new Request(waiter, worker.now() + budgetMillis);
@@ -164,22 +166,23 @@
   }
 
   /**
-   * Gives a slot back when a statement has ended.
+   * Releases the slot of a statement that has ended.
    *
-   * @param heldMillis how long it ran
+   * @param heldMillis time for which the slot was held
    */
   public void releaseSlot(long heldMillis) {
     locked(
         after -> {
           slotsInUse--;
           checkShrunk(after);
-          holdMicrosAverage += (heldMillis * 1_000 - holdMicrosAverage) / SMOOTHING;
+          averageHeldMicros += (heldMillis * 1_000 - averageHeldMicros) / SMOOTHING_DIVISOR;
           serve(after);
         });
   }
 
   /**
-   * Gives a connection back that is proven to be idle and without leftovers.
+   * Returns a connection to the pool; it must be idle, outside a transaction and free of state of
+   * its last use.
    *
    * @param entry the connection
    */
@@ -187,7 +190,7 @@
     locked(
         after -> {
           if (!closed && open - ending <= connectionLimit) {
-            park(entry);
+            addIdle(entry);
           } else {
             end(entry.session(), false, after);
           }
@@ -196,10 +199,12 @@
   }
 
   /**
-   * Gives up a connection whose state is not known; the member is asked to end it and what runs.
+   * Discards a connection whose state is not known: cancels a statement that may still run on it
+   * and requests the member to close it.
    *
    * @param entry the connection
-   * @param withSlot whether a statement may still run there, whose slot the caller held
+   * @param withSlot whether a statement may still run there; its slot is released with the
+   *     connection
    */
   public void discard(PoolEntry entry, boolean withSlot) {
     locked(
@@ -209,7 +214,7 @@
         });
   }
 
-  /** Ends a connection, which counts until the member has ended it or the grace is over. */
+  /** Closes a connection, which counts until the member has closed it or the grace period ends. */
   private void end(MemberSession session, boolean withSlot, List<Runnable> after) {
     ending++;
     after.add(
@@ -217,7 +222,7 @@
           if (withSlot) {
             session.cancel();
           }
-          SessionEnd.begin(worker, session, settings.endGraceMillis(), () -> ended(withSlot));
+          SessionCloser.begin(worker, session, settings.endGraceMillis(), () -> ended(withSlot));
         });
   }
 
@@ -233,7 +238,7 @@
         });
   }
 
-  /** Refuses all that wait and ends idle connections, and used ones as they come back. */
+  /** Refuses all waiting requests and closes idle connections, busy ones when they are released. */
   public void close() {
     locked(
         after -> {
@@ -244,7 +249,7 @@
         });
   }
 
-  /** Ends idle connections and refuses all that wait, since the member does not answer. */
+  /** Closes idle connections and refuses all waiting requests, for an unreachable member. */
   public void memberLost() {
     locked(
         after -> {
@@ -256,7 +261,7 @@
   }
 
   /**
-   * Returns the number of connections, those being opened included.
+   * Returns the number of connections, including those being opened or closed.
    *
    * @return connections without the monitor's
    */
@@ -269,7 +274,7 @@
     }
   }
 
-  /** Makes a change under the lock; whom it concerns is told afterwards, outside of it. */
+  /** Makes a change under the lock, then runs the actions that the change has added to its list. */
   private void locked(Consumer<List<Runnable>> change) {
     List<Runnable> after = new ArrayList<>();
     lock.lock();
@@ -287,16 +292,19 @@
           add.accept(after);
           serve(after);
           connectIfNeeded(after);
-          sweepLater();
+          scheduleSweep();
         });
   }
 
-  /** Adds a request unless it can't start in time; a full queue makes room at the longest share. */
+  /**
+   * Adds a request unless it can't start in time. When the queue is full, the newest request of the
+   * longest share is refused instead, if that share is longer.
+   */
   private void addStarting(String share, Request request, List<Runnable> after) {
     long wait = expectedWaitMillis(starting.aheadOf(share));
     long longest = Math.min(settings.maxQueueMillis(), request.deadline() - worker.now());
-    boolean hopeless = wait > longest && starting.aheadOf(share) > 0;
-    if (closed || hopeless || !makeRoom(share, after)) {
+    boolean tooLate = wait > longest && starting.aheadOf(share) > 0;
+    if (closed || tooLate || !makeRoom(share, after)) {
       after.add(() -> request.waiter().refused(Math.max(MIN_RETRY_MILLIS, wait)));
       return;
     }
@@ -313,14 +321,14 @@
     return displaced.isPresent();
   }
 
-  /** Time until a request gets its turn, from the observed speed. */
+  /** Estimates the wait of a request from the average time for which a slot is held. */
   private long expectedWaitMillis(int ahead) {
-    int width = Math.max(1, slotLimit);
-    return (continuing.size() + ahead) * holdMicrosAverage / width / 1_000;
+    int parallelism = Math.max(1, slotLimit);
+    return (continuing.size() + ahead) * averageHeldMicros / parallelism / 1_000;
   }
 
   private void serve(List<Runnable> after) {
-    while (!continuing.isEmpty() && slotsInUse < heldSlotLimit) {
+    while (!continuing.isEmpty() && slotsInUse < transactionSlotLimit) {
       grant(continuing.pollFirst(), null, after);
     }
     while (!starting.isEmpty() && slotsInUse < slotLimit && !idle.isEmpty()) {
@@ -359,7 +367,7 @@
           if (closed || open - ending > connectionLimit) {
             end(session, false, after);
           } else {
-            park(entry);
+            addIdle(entry);
             serve(after);
           }
         });
@@ -377,8 +385,8 @@
         });
   }
 
-  /** Puts a connection among the idle ones and watches it for being closed by the member. */
-  private void park(PoolEntry entry) {
+  /** Adds a connection to the idle ones and listens for its close by the member. */
+  private void addIdle(PoolEntry entry) {
     idle.addFirst(entry);
     entry.session().listen(new IdleListener(entry));
   }
@@ -402,9 +410,9 @@
 
   private void checkShrunk(List<Runnable> after) {
     if (open + connecting <= connectionLimit && slotsInUse <= slotLimit) {
-      heldSlotLimit = slotLimit;
-      after.add(shrunk);
-      shrunk = () -> {};
+      transactionSlotLimit = slotLimit;
+      after.add(whenShrunk);
+      whenShrunk = () -> {};
     }
   }
 
@@ -421,8 +429,8 @@
     }
   }
 
-  /** Sets the timer for the earliest deadline, unless it is set for that time or earlier. */
-  private void sweepLater() {
+  /** Schedules the sweep for the earliest deadline, unless one is due by then. */
+  private void scheduleSweep() {
     long first =
         Stream.concat(continuing.stream(), starting.all().stream())
             .mapToLong(Request::deadline)
@@ -439,17 +447,17 @@
     locked(
         after -> {
           long now = worker.now();
-          // Also when the timer came a moment early: the next one is set below.
+          // The timer may fire slightly early; scheduleSweep below then sets it again.
           sweepAt = NO_SWEEP;
-          Predicate<Request> isOver = request -> request.deadline() <= now;
+          Predicate<Request> isExpired = request -> request.deadline() <= now;
           long wait = Math.max(MIN_RETRY_MILLIS, expectedWaitMillis(starting.size()));
           Stream.concat(continuing.stream(), starting.all().stream())
-              .filter(isOver)
+              .filter(isExpired)
               .forEach(request -> after.add(() -> request.waiter().refused(wait)));
-          continuing.removeIf(isOver);
-          starting.removeIf(isOver);
+          continuing.removeIf(isExpired);
+          starting.removeIf(isExpired);
           connectIfNeeded(after);
-          sweepLater();
+          scheduleSweep();
         });
   }
 
@@ -462,12 +470,12 @@
 
     @Override
     public void onMessage(org.streamcourse.connection.wire.WireMessage message) {
-      // A parked connection has no request; reports about parameters may still come.
+      // An idle connection has no request; the member may still send parameter reports.
     }
 
     @Override
     public void onReadComplete() {
-      // Nothing is gathered for an idle connection.
+      // An idle connection has no buffered output.
     }
 
     @Override
--- a/server/src/main/java/org/streamcourse/connection/backend/MemberSession.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/MemberSession.java
@@ -4,7 +4,7 @@
 
 /** An established connection to a member. */
 public interface MemberSession {
-  /** Hears a member's answers. */
+  /** Receives a member's messages. */
   interface Listener {
     /**
      * A message arrived.
@@ -13,19 +13,19 @@
      */
     void onMessage(WireMessage message);
 
-    /** All messages of one read were handed over. */
+    /** All messages of one socket read have been delivered. */
     void onReadComplete();
 
     /**
-     * The connection is gone.
+     * The connection is closed.
      *
-     * @param cause why
+     * @param cause reason for the close
      */
     void onClosed(String cause);
   }
 
   /**
-   * Sets who hears the answers; each use of the connection sets its own listener.
+   * Sets the listener; each use of the connection sets its own.
    *
    * @param listener the listener
    */
@@ -34,25 +34,26 @@
   /**
    * Sends messages.
    *
-   * @param messages whole messages
+   * @param messages complete messages
    */
   void send(byte[] messages);
 
   /** Stops reading. */
   void pauseReading();
 
-  /** Reads on. */
+  /** Resumes reading. */
   void resumeReading();
 
-  /** Asks the member, over another connection, to cancel what runs. */
+  /** Sends a cancel request for the running statement over another connection. */
   void cancel();
 
   /**
-   * Asks the member to end the connection. What still arrives on it is dropped; the listener hears
-   * nothing more.
+   * Requests the member to close the connection. Messages that still arrive are dropped; the
+   * listener is not called any more.
    *
-   * @param whenEnded runs once, on any thread, when the member has ended the connection, so that
-   *     neither it nor a statement on it counts there any more; at once if it has ended it already
+   * @param whenEnded runs once, on any thread, when the member has closed the connection, so that
+   *     neither the connection nor a statement on it counts at the member any more; at once if the
+   *     connection is closed already
    */
   void end(Runnable whenEnded);
 
--- a/server/src/main/java/org/streamcourse/connection/backend/MemberStatements.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/MemberStatements.java
@@ -10,23 +10,23 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * Statements through which members tell and change their place in the group, and their answers. All
- * functions return one row: term, role, upstream, received, matched, applied.
+ * Statements that query and change a member's role in its group, and the parsing of their results.
+ * All functions return one row: term, role, upstream, received, matched, applied.
  */
 public final class MemberStatements {
-  /** Asks for the status. */
+  /** Queries the status. */
   public static final String STATUS = "SELECT * FROM group_status()";
 
-  /** Asks for a notification at each change of the status. */
+  /** Subscribes to notifications of each change of the status. */
   public static final String LISTEN = "LISTEN group_status";
 
-  /** Parameter in which a member reports the place of a commit, before ReadyForQuery. */
+  /** Parameter in which a member reports the log position of a commit, before ReadyForQuery. */
   public static final String COMMIT_POSITION = "commit_position";
 
   /** SQLSTATE with which a member that is not the primary refuses a write. */
   public static final String READ_ONLY = "25006";
 
-  /** Takes a connection back to the state after login. */
+  /** Resets a connection to its state after login. */
   public static final String RESET = "DISCARD ALL";
 
   private static final int STATUS_FIELDS = 6;
@@ -35,7 +35,7 @@
   private MemberStatements() {}
 
   /**
-   * Builds the order to refuse older terms.
+   * Builds the order to fence the member against older terms.
    *
    * @param term term of the order
    * @return statement
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Reads a status row.
+   * Parses a status row.
    *
    * @param row data row
    * @return status
@@ -76,7 +76,7 @@
   }
 
   /**
-   * Reads a status notification.
+   * Parses a status notification.
    *
    * @param message notification
    * @return status
@@ -89,7 +89,7 @@
   }
 
   /**
-   * Writes a status as the fields of a row.
+   * Formats a status as the fields of a row.
    *
    * @param status the status
    * @return six texts
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Writes a status as the payload of a notification.
+   * Formats a status as the payload of a notification.
    *
    * @param status the status
    * @return payload
@@ -117,7 +117,10 @@
   private static MemberStatus parse(List<String> fields) {
     if (fields.size() != STATUS_FIELDS) {
       throw new StreamcourseException(
-          ErrorCode.PROTOCOL_VIOLATION, "read-status", "", "unexpected fields " + fields);
+          ErrorCode.PROTOCOL_VIOLATION,
+          "read-status",
+          "",
+          "unexpected fields of a member's status: " + fields);
     }
     return new MemberStatus(
         Long.parseLong(fields.get(0)),
--- a/server/src/main/java/org/streamcourse/connection/backend/PoolEntry.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/PoolEntry.java
@@ -14,14 +14,14 @@
   /**
    * Returns the connection.
    *
-   * @return connection, for the holder of the entry only
+   * @return connection, to be used only by the request to which the entry was granted
    */
   public MemberSession session() {
     return session;
   }
 
   /**
-   * Returns the session parameters that were set on the connection.
+   * Returns the statements that set the session parameters in force on the connection.
    *
    * @return statements in the order in which they ran
    */
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Notes the session parameters that were set.
+   * Records the session parameters that were set.
    *
-   * @param inForce statements that ran
+   * @param inForce statements that set them
    */
   public void settingsApplied(List<String> inForce) {
     settings = List.copyOf(inForce);
--- a/server/src/main/java/org/streamcourse/connection/backend/PoolSettings.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/PoolSettings.java
@@ -6,12 +6,12 @@
 /**
  * Settings of all pools of a node.
  *
- * @param warmConnections connections kept open to each member before they are needed
- * @param maxWaiting most requests waiting for a connection or a slot of one member
- * @param maxQueueMillis longest wait that a new request may have to expect before it is refused; a
- *     longer queue would not serve more, only later
+ * @param warmConnections minimum number of connections kept open to each member, idle or busy
+ * @param maxWaiting maximum number of requests waiting for a connection or a slot of one member
+ * @param maxQueueMillis longest expected wait at which a new request is still queued; a longer
+ *     queue would add latency, not throughput
  * @param connectRetryMillis pause after a failed connect
- * @param endGraceMillis longest time that a connection counts which the member was asked to end
+ * @param endGraceMillis longest time for which a connection that is being closed counts as open
  */
 public record PoolSettings(
     int warmConnections,
@@ -19,14 +19,14 @@
     long maxQueueMillis,
     long connectRetryMillis,
     long endGraceMillis) {
-  /** Grace used everywhere: longer than any stop of a member that still comes back by itself. */
+  /** Default grace period: longer than any pause after which a member resumes by itself. */
   public static final long DEFAULT_END_GRACE_MILLIS = 30_000;
 
-  /** Values used when the settings file names none. */
+  /** Values used when the settings file has none. */
   public static final PoolSettings DEFAULT =
       new PoolSettings(4, 512, 1_000, 100, DEFAULT_END_GRACE_MILLIS);
 
-  /** Checks all fields. */
+  /** Validates all fields. */
   public void validate() {
     require(warmConnections >= 0, "warmConnections must not be negative");
     require(maxWaiting >= 1, "maxWaiting must be at least 1");
--- a/server/src/main/java/org/streamcourse/connection/backend/TcpMemberConnector.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/TcpMemberConnector.java
@@ -37,8 +37,8 @@
    *
    * @param loops event loops
    * @param user user name at the members
-   * @param password its password
-   * @param addresses finds the address of a member
+   * @param password password of that user
+   * @param addresses returns the address of a member
    */
   public TcpMemberConnector(
       LoopResources loops,
@@ -90,7 +90,7 @@
         ErrorCode.NO_MEMBER_AVAILABLE, "connect-member", member, detail);
   }
 
-  /** Logs in, then serves as the session. */
+  /** Performs the login, then serves as the session. */
   private final class Login implements WireHandler, MemberSession {
     private final WireChannel channel;
     private final PeerAddress address;
@@ -102,10 +102,10 @@
     private int secret;
     private volatile Listener listener;
 
-    /** Guarded by this object: whether the connection is gone, and who waits for that. */
-    private boolean gone;
+    /** Whether the connection is closed; guarded by this object, as is {@link #whenClosed}. */
+    private boolean closed;
 
-    private Runnable whenGone = () -> {};
+    private Runnable whenClosed = () -> {};
 
     Login(WireChannel channel, PeerAddress address, String database, MonoSink<MemberSession> sink) {
       this.channel = channel;
@@ -135,14 +135,14 @@
       }
       switch (message.type()) {
         case Backend.AUTHENTICATION -> authenticate(message.body().int32());
-        case Backend.BACKEND_KEY -> rememberKey(message.body());
+        case Backend.BACKEND_KEY -> storeCancelKey(message.body());
         case Backend.ERROR -> fail(Backend.errorText(message));
         case Backend.READY -> {
           loggedIn = true;
           sink.success(this);
         }
         default -> {
-          // Parameter reports and notices during login carry nothing that is needed.
+          // Parameter reports and notices are not needed during login.
         }
       }
     }
@@ -151,20 +151,20 @@
       if (request == AUTHENTICATION_CLEARTEXT) {
         channel.send(Frontend.password(password));
       } else if (request != AUTHENTICATION_OK) {
-        fail("unsupported authentication " + request);
+        fail("authentication request " + request + " is not supported");
       }
     }
 
-    /** Ends the login; what follows, such as the close of the channel, adds nothing. */
-    private void fail(String why) {
+    /** Fails the login; later failures, such as the close of the channel, are ignored. */
+    private void fail(String detail) {
       if (!failed) {
         failed = true;
-        sink.error(failure(address.toString(), why));
+        sink.error(failure(address.toString(), detail));
         channel.close();
       }
     }
 
-    private void rememberKey(WireMessage.Reader body) {
+    private void storeCancelKey(WireMessage.Reader body) {
       process = body.int32();
       secret = body.int32();
     }
@@ -180,7 +180,7 @@
     @Override
     public void onClosed(Throwable cause) {
       String text = cause == null ? "connection closed" : cause.toString();
-      noteGone().run();
+      markClosed().run();
       if (!loggedIn) {
         fail(text);
         return;
@@ -191,10 +191,10 @@
       }
     }
 
-    private synchronized Runnable noteGone() {
-      gone = true;
-      Runnable waiting = whenGone;
-      whenGone = () -> {};
+    private synchronized Runnable markClosed() {
+      closed = true;
+      Runnable waiting = whenClosed;
+      whenClosed = () -> {};
       return waiting;
     }
 
@@ -236,7 +236,7 @@
     @Override
     public void end(Runnable whenEnded) {
       listener = null;
-      if (awaitGone(whenEnded)) {
+      if (awaitClose(whenEnded)) {
         channel.resumeReading();
         channel.send(Frontend.terminate());
       } else {
@@ -244,12 +244,12 @@
       }
     }
 
-    /** Returns false when the connection is gone already. */
-    private synchronized boolean awaitGone(Runnable whenEnded) {
-      if (!gone) {
-        whenGone = whenEnded;
+    /** Sets the callback for the close; returns false if the connection is closed already. */
+    private synchronized boolean awaitClose(Runnable whenEnded) {
+      if (!closed) {
+        whenClosed = whenEnded;
       }
-      return !gone;
+      return !closed;
     }
 
     @Override
--- a/server/src/main/java/org/streamcourse/connection/backend/package-info.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Connections to database members, pooled within the limits that this node was given. */
+/** Connections to database members, pooled within this node's allowance. */
 package org.streamcourse.connection.backend;
--- a/server/src/test/java/org/streamcourse/connection/backend/FairQueueTest.java
+++ b/server/src/test/java/org/streamcourse/connection/backend/FairQueueTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Turns of shares, and what is said of them beforehand. */
+/** Guards against a share with many requests starving another, and against wrong wait estimates. */
 public class FairQueueTest {
   private static FairQueue<String> manyAndOne() {
     FairQueue<String> queue = new FairQueue<>();
@@ -29,15 +29,15 @@
   }
 
   @Test
-  public void tellsHowManyGoFirst() {
+  public void countsRequestsAheadOfANewOne() {
     FairQueue<String> queue = manyAndOne();
     assertEquals(queue.aheadOf("many"), 4);
-    assertEquals(queue.aheadOf("one"), 3, "its own one, and two of the many");
+    assertEquals(queue.aheadOf("one"), 3, "one of its own, and two of share many");
     assertEquals(queue.aheadOf("none"), 2, "one of each share");
   }
 
   @Test
-  public void onlyALongerShareMakesRoom() {
+  public void displacesOnlyFromALongerShare() {
     FairQueue<String> queue = manyAndOne();
     assertEquals(queue.pollOfLongerThan("many"), Optional.empty());
     assertEquals(queue.pollOfLongerThan("one"), Optional.of("m3"));
--- a/server/src/test/java/org/streamcourse/connection/backend/FakeMember.java
+++ b/server/src/test/java/org/streamcourse/connection/backend/FakeMember.java
@@ -7,9 +7,9 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** A member whose connections are opened, answered and broken by the test. */
+/** A simulated member; the test opens, answers and breaks its connections. */
 public final class FakeMember {
-  /** One connection, with what was sent on it. */
+  /** One connection, which records the statements sent on it. */
   public final class Session implements MemberSession {
     private final List<String> sent = new ArrayList<>();
     private Listener listener;
@@ -29,12 +29,12 @@
 
     @Override
     public void pauseReading() {
-      // Answers are small.
+      // Replies are too small for flow control.
     }
 
     @Override
     public void resumeReading() {
-      // Answers are small.
+      // Replies are too small for flow control.
     }
 
     @Override
@@ -51,12 +51,12 @@
       }
     }
 
-    /** Lets the member end the connection, as it was asked to. */
+    /** Completes a requested close on the member's side. */
     public void finishEnd() {
       whenEnded.run();
     }
 
-    /** Whether the product has asked to cancel what runs. */
+    /** Returns whether the code under test has requested to cancel the running statement. */
     public boolean isCancelled() {
       return cancelled;
     }
@@ -66,24 +66,24 @@
       closed = true;
     }
 
-    /** Whether the product has closed the connection, or asked the member to end it. */
+    /** Returns whether the code under test has closed the connection or requested its close. */
     public boolean isClosed() {
       return closed;
     }
 
-    /** Statements that arrived, in order. */
+    /** Returns the statements that arrived, in order. */
     public List<String> sent() {
       return sent;
     }
 
-    /** Answers what was sent with a tag and a transaction status. */
+    /** Answers a statement with a command tag and a transaction status. */
     public void complete(String tag, char status) {
       listener.onMessage(new WireMessage(Backend.commandComplete(tag)));
       listener.onMessage(new WireMessage(Backend.ready(status)));
       listener.onReadComplete();
     }
 
-    /** Answers with one row of texts. */
+    /** Answers a statement with one row of texts. */
     public void answerRow(List<String> row) {
       listener.onMessage(new WireMessage(Backend.textRow(row)));
       complete("SELECT 1", Backend.STATUS_IDLE);
@@ -100,12 +100,12 @@
   private boolean opensAtOnce = true;
   private boolean endsAtOnce = true;
 
-  /** Decides whether connections end at once or wait for {@link Session#finishEnd}. */
+  /** Sets whether connections end at once or wait for {@link Session#finishEnd}. */
   public void setEndsAtOnce(boolean value) {
     endsAtOnce = value;
   }
 
-  /** Decides whether connects succeed at once or wait for {@link #finishConnect}. */
+  /** Sets whether connects succeed at once or wait for {@link #finishConnect}. */
   public void setOpensAtOnce(boolean value) {
     opensAtOnce = value;
   }
@@ -130,22 +130,22 @@
     return session;
   }
 
-  /** Lets the oldest waiting connect succeed. */
+  /** Completes the oldest pending connect. */
   public void finishConnect() {
     connecting.remove(0).tryEmitValue(opened());
   }
 
-  /** Lets the oldest waiting connect fail. */
+  /** Fails the oldest pending connect. */
   public void failConnect() {
     connecting.remove(0).tryEmitError(new IllegalStateException("connection refused"));
   }
 
-  /** Number of connects that wait. */
+  /** Returns the number of pending connects. */
   public int connecting() {
     return connecting.size();
   }
 
-  /** All connections so far. */
+  /** Returns all connections opened so far. */
   public List<Session> sessions() {
     return sessions;
   }
--- a/server/src/test/java/org/streamcourse/connection/backend/MemberMonitorTest.java
+++ b/server/src/test/java/org/streamcourse/connection/backend/MemberMonitorTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** The monitor of a member keeps exactly one connection. */
+/** Guards against a monitor that uses more connections to its member than it reports. */
 public class MemberMonitorTest {
   private static final long GRACE_MILLIS = 1_000;
 
@@ -19,7 +19,7 @@
   }
 
   @Test
-  public void stoppedMonitorCountsUntilTheMemberHasEndedItsConnection() {
+  public void stoppedMonitorCountsUntilTheMemberHasClosedItsConnection() {
     VirtualTimeScheduler clock = VirtualTimeScheduler.create();
     FakeMember member = new FakeMember();
     member.setEndsAtOnce(false);
@@ -30,7 +30,7 @@
     monitor.stop(() -> ended[0] = true);
     clock.advanceTimeBy(Duration.ofMillis(10));
     assertFalse(ended[0], "the member still has the connection");
-    assertEquals(monitor.connections(), 2, "one to come, one on its way out");
+    assertEquals(monitor.connections(), 2, "one reserved for the monitor, one being closed");
     member.sessions().get(0).finishEnd();
     clock.advanceTimeBy(Duration.ofMillis(10));
     assertTrue(ended[0]);
@@ -45,13 +45,13 @@
     MemberMonitor monitor = monitor(clock, member);
     monitor.start();
     clock.advanceTimeBy(Duration.ofMillis(240));
-    // The retry after this failure is due at 290 ms; the regular tick at 250 ms comes first.
+    // The retry after this failure is due at 290 ms; the periodic tick at 250 ms runs before it.
     member.failConnect();
     clock.advanceTimeBy(Duration.ofMillis(15));
     assertEquals(member.connecting(), 1, "the tick connects");
     member.finishConnect();
     clock.advanceTimeBy(Duration.ofMillis(100));
-    assertEquals(member.connecting(), 0, "the late retry must not connect as well");
+    assertEquals(member.connecting(), 0, "the late retry must not open a second connection");
     assertEquals(member.sessions().size(), 1);
   }
 }
--- a/server/src/test/java/org/streamcourse/connection/backend/MemberPoolTest.java
+++ b/server/src/test/java/org/streamcourse/connection/backend/MemberPoolTest.java
@@ -14,14 +14,14 @@
 import reactor.core.Disposable;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** Limits, admission and shrinking of a pool. */
+/** Guards against a pool that exceeds its limits, starves a user or queues without bound. */
 public class MemberPoolTest {
   private static final String USER = "desk";
   private static final int MONITOR = 1;
   private static final long MAX_QUEUE_MILLIS = 700;
   private static final long END_GRACE_MILLIS = 5_000;
 
-  /** Notes what a request heard. */
+  /** Records the outcome of a request. */
   private static final class Outcome implements MemberPool.Waiter {
     private final List<PoolEntry> entries = new ArrayList<>();
     private int grants;
@@ -70,8 +70,8 @@
     return outcome;
   }
 
-  /** Leaves the only slot in use, by a statement as long as those before. */
-  private void fillWithTurnsOf400Millis() {
+  /** Holds the only slot after 40 statements that each held it for 400 ms. */
+  private void occupySlotAfterStatementsOf400Millis() {
     pool.setLimits(1 + MONITOR, 1, MONITOR, () -> {});
     PoolEntry entry = acquire(1_000).entries.get(0);
     for (int i = 0; i < 40; i++) {
@@ -95,7 +95,7 @@
   }
 
   @Test
-  public void refusesAtTheDeadlineWithTimeToComeBack() {
+  public void refusesAtTheDeadlineWithARetryTime() {
     pool.setLimits(1 + MONITOR, 1, MONITOR, () -> {});
     acquire(1_000);
     Outcome late = acquire(50);
@@ -106,7 +106,7 @@
     assertTrue(late.retryAfterMillis > 0);
   }
 
-  /** A worker whose timers come a millisecond early, as those of a drifting clock may. */
+  /** A worker whose timers fire a millisecond early, as those of a drifting clock may. */
   private static Worker earlyWorker(Worker worker) {
     return new Worker() {
       @Override
@@ -127,7 +127,7 @@
   }
 
   @Test
-  public void refusesAtTheDeadlineThoughTimersComeEarly() {
+  public void refusesAtTheDeadlineWhenTimersFireEarly() {
     pool =
         new MemberPool(
             earlyWorker(SchedulerWorker.onSchedulerClock(clock)),
@@ -141,7 +141,7 @@
   }
 
   @Test
-  public void refusesAtOnceWhatWaitsWhenTheAllowanceIsWithdrawn() {
+  public void refusesWaitingRequestsWhenTheAllowanceIsWithdrawn() {
     pool.setLimits(1 + MONITOR, 1, MONITOR, () -> {});
     acquire(1_000);
     Outcome waiting = acquire(1_000);
@@ -175,7 +175,7 @@
     Outcome newest = acquire(1_000);
     Outcome other = new Outcome();
     pool.acquire("coordinator", 1_000, other);
-    assertTrue(newest.isRefused(), "the newest of the longest share makes room");
+    assertTrue(newest.isRefused(), "the newest request of the longest share is displaced");
     assertFalse(first.isRefused());
     assertFalse(other.isRefused());
   }
@@ -187,26 +187,26 @@
     acquire(1_000);
     acquire(1_000);
     acquire(1_000);
-    assertTrue(acquire(1_000).isRefused(), "three wait already");
+    assertTrue(acquire(1_000).isRefused(), "three requests wait already");
   }
 
   @Test
-  public void refusesAtOnceWhatCannotStartInTime() {
-    fillWithTurnsOf400Millis();
+  public void refusesAtOnceWhenTheDeadlineCannotBeMet() {
+    occupySlotAfterStatementsOf400Millis();
     Outcome waits = acquire(1_000);
-    Outcome hopeless = acquire(100);
+    Outcome tooLate = acquire(100);
     assertFalse(waits.isRefused());
-    assertTrue(hopeless.isRefused(), "one waits before it, and a turn takes about 400 ms");
+    assertTrue(tooLate.isRefused(), "one request is ahead, and a statement takes about 400 ms");
   }
 
   @Test
-  public void refusesAtOnceWhatWouldWaitTooLong() {
-    fillWithTurnsOf400Millis();
+  public void refusesAtOnceWhenTheExpectedWaitIsTooLong() {
+    occupySlotAfterStatementsOf400Millis();
     assertFalse(acquire(60_000).isRefused());
-    assertFalse(acquire(60_000).isRefused(), "one before it: about 400 ms");
+    assertFalse(acquire(60_000).isRefused(), "one request ahead: about 400 ms");
     Outcome third = acquire(60_000);
-    assertTrue(third.isRefused(), "two before it: about 800 ms");
-    assertTrue(third.retryAfterMillis > 700, "told when its turn might have come");
+    assertTrue(third.isRefused(), "two requests ahead: about 800 ms");
+    assertTrue(third.retryAfterMillis > 700, "the retry time covers the expected wait");
   }
 
   @Test
@@ -217,7 +217,7 @@
     boolean[] shrunk = new boolean[1];
     pool.setLimits(0, 0, MONITOR, () -> shrunk[0] = true);
     assertFalse(shrunk[0], "a transaction still holds its connection");
-    assertEquals(acquireSlot().grants, 1, "its next unit must not starve");
+    assertEquals(acquireSlot().grants, 1, "the transaction's next unit must not starve");
     pool.releaseSlot(1);
     assertFalse(shrunk[0]);
     pool.release(transaction);
@@ -226,20 +226,21 @@
   }
 
   @Test
-  public void whatIsGivenUpCountsUntilTheMemberHasEndedIt() {
+  public void discardedConnectionCountsUntilTheMemberHasClosedIt() {
     member.setEndsAtOnce(false);
     pool.setLimits(1 + MONITOR, 1, MONITOR, () -> {});
     pool.discard(acquire(1_000).entries.get(0), true);
     Outcome next = acquire(1_000);
-    assertTrue(member.sessions().get(0).isCancelled(), "its statement may still run");
-    assertEquals(next.grants, 0, "the member may still be at work on the first");
-    assertEquals(member.sessions().size(), 1, "and still holds its connection");
+    assertTrue(
+        member.sessions().get(0).isCancelled(), "its statement may still run and is cancelled");
+    assertEquals(next.grants, 0, "the member may still run the first statement");
+    assertEquals(member.sessions().size(), 1, "the member still holds the first connection");
     member.sessions().get(0).finishEnd();
     assertEquals(next.grants, 1);
   }
 
   @Test
-  public void whatTheMemberNeverEndsCountsForTheGraceOnly() {
+  public void connectionThatIsNeverClosedCountsForTheGracePeriodOnly() {
     member.setEndsAtOnce(false);
     pool.setLimits(1 + MONITOR, 1, MONITOR, () -> {});
     pool.discard(acquire(1_000).entries.get(0), true);
@@ -249,11 +250,11 @@
     clock.advanceTimeBy(Duration.ofMillis(1));
     assertEquals(next.grants, 1);
     member.sessions().get(0).finishEnd();
-    assertEquals(pool.size(), 1, "an end that comes after all is not counted twice");
+    assertEquals(pool.size(), 1, "a close after the grace period is not counted twice");
   }
 
   @Test
-  public void partsAreHandedOnOnlyOnceTheMemberHasEndedTheirConnections() {
+  public void shrinkingCompletesOnlyOnceTheMemberHasClosedTheConnections() {
     member.setEndsAtOnce(false);
     pool.setLimits(1 + MONITOR, 1, MONITOR, () -> {});
     PoolEntry entry = acquire(1_000).entries.get(0);
@@ -267,7 +268,7 @@
   }
 
   @Test
-  public void connectionsThatAreNotCleanAreClosed() {
+  public void discardedConnectionsAreClosed() {
     pool.setLimits(1 + MONITOR, 1, MONITOR, () -> {});
     PoolEntry entry = acquire(1_000).entries.get(0);
     pool.releaseSlot(1);
