--- a/server/src/main/java/org/streamcourse/connection/wire/Backend.java
+++ b/server/src/main/java/org/streamcourse/connection/wire/Backend.java
@@ -5,30 +5,30 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Messages that a server sends, with their type bytes. */
+/** Builders and readers of backend messages, with their type bytes. */
 public final class Backend {
   /** Authentication request. */
   public static final char AUTHENTICATION = 'R';
 
-  /** Change of a reported parameter. */
+  /** Report of a run-time parameter's value. */
   public static final char PARAMETER_STATUS = 'S';
 
   /** Key for cancel requests. */
   public static final char BACKEND_KEY = 'K';
 
-  /** End of a request; carries the transaction status. */
+  /** ReadyForQuery: end of a request, with the transaction status. */
   public static final char READY = 'Z';
 
-  /** Error. */
+  /** ErrorResponse. */
   public static final char ERROR = 'E';
 
-  /** Notice. */
+  /** NoticeResponse. */
   public static final char NOTICE = 'N';
 
-  /** Notification of a channel. */
+  /** NotificationResponse, sent for LISTEN. */
   public static final char NOTIFICATION = 'A';
 
-  /** Columns of a result. */
+  /** Column descriptions of a result. */
   public static final char ROW_DESCRIPTION = 'T';
 
   /** One row. */
@@ -67,14 +67,14 @@
   /** The open transaction has failed. */
   public static final char STATUS_FAILED_TRANSACTION = 'E';
 
-  /** Type number of text columns. */
+  /** Type OID of text columns. */
   public static final int TEXT_OID = 25;
 
   private static final int AUTHENTICATION_OK = 0;
   private static final int AUTHENTICATION_CLEARTEXT = 3;
   private static final int VARIABLE_SIZE = -1;
   private static final char FIELD_SEVERITY = 'S';
-  private static final char FIELD_SEVERITY_RAW = 'V';
+  private static final char FIELD_SEVERITY_NONLOCALIZED = 'V';
   private static final char FIELD_CODE = 'C';
   private static final char FIELD_MESSAGE = 'M';
   private static final char FIELD_DETAIL = 'D';
@@ -83,7 +83,7 @@
   private Backend() {}
 
   /**
-   * Builds the message that accepts a caller.
+   * Builds the AuthenticationOk message.
    *
    * @return bytes
    */
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Builds the request for a password.
+   * Builds the request for a cleartext password.
    *
    * @return bytes
    */
@@ -101,10 +101,10 @@
   }
 
   /**
-   * Builds a request of the SASL exchange.
+   * Builds a message of the SASL exchange.
    *
    * @param step 10 for the mechanisms, 11 for a challenge, 12 for the final message
-   * @param content its content
+   * @param content mechanism names or SASL data
    * @return bytes
    */
   public static byte[] authenticationSasl(int step, byte[] content) {
@@ -112,10 +112,10 @@
   }
 
   /**
-   * Builds a parameter report.
+   * Builds a ParameterStatus message.
    *
    * @param name parameter
-   * @param value its value
+   * @param value value of the parameter
    * @return bytes
    */
   public static byte[] parameterStatus(String name, String value) {
@@ -123,10 +123,10 @@
   }
 
   /**
-   * Builds the key for cancel requests.
+   * Builds a BackendKeyData message.
    *
-   * @param process process number
-   * @param secret secret
+   * @param process process id for cancel requests
+   * @param secret secret key for cancel requests
    * @return bytes
    */
   public static byte[] backendKey(int process, int secret) {
@@ -134,7 +134,7 @@
   }
 
   /**
-   * Builds the end of a request.
+   * Builds a ReadyForQuery message.
    *
    * @param status one of the STATUS constants
    * @return bytes
@@ -144,9 +144,9 @@
   }
 
   /**
-   * Builds the end of a statement.
+   * Builds a CommandComplete message.
    *
-   * @param tag what was done
+   * @param tag command tag
    * @return bytes
    */
   public static byte[] commandComplete(String tag) {
@@ -164,13 +164,13 @@
   }
 
   /**
-   * Builds an error.
+   * Builds an ErrorResponse message.
    *
    * @param severity {@code ERROR} or {@code FATAL}
    * @param sqlState five characters
-   * @param message text
-   * @param detail more text, may be empty
-   * @param hint advice, may be empty
+   * @param message primary message
+   * @param detail detail, may be empty
+   * @param hint hint, may be empty
    * @return bytes
    */
   public static byte[] error(
@@ -179,7 +179,7 @@
         WireBuilder.message(ERROR)
             .int8(FIELD_SEVERITY)
             .text(severity)
-            .int8(FIELD_SEVERITY_RAW)
+            .int8(FIELD_SEVERITY_NONLOCALIZED)
             .text(severity)
             .int8(FIELD_CODE)
             .text(sqlState)
@@ -198,7 +198,7 @@
    * Reads the fields of an error or notice.
    *
    * @param message the message
-   * @return texts by field letter
+   * @return texts by field type
    */
   public static Map<Character, String> errorFields(WireMessage message) {
     Map<Character, String> fields = new TreeMap<>();
@@ -222,19 +222,19 @@
   }
 
   /**
-   * Reads the text of an error.
+   * Reads the primary message of an error.
    *
    * @param message the error
-   * @return text
+   * @return primary message
    */
   public static String errorText(WireMessage message) {
     return errorFields(message).getOrDefault(FIELD_MESSAGE, "");
   }
 
   /**
-   * Builds the columns of a result of texts.
+   * Builds the row description of text columns.
    *
-   * @param columns names
+   * @param columns column names
    * @return bytes
    */
   public static byte[] textColumns(List<String> columns) {
@@ -253,7 +253,7 @@
   }
 
   /**
-   * Builds a row of texts.
+   * Builds a data row of texts.
    *
    * @param values texts, null for SQL NULL
    * @return bytes
@@ -267,7 +267,7 @@
   }
 
   /**
-   * Reads a row of texts.
+   * Reads a data row of texts.
    *
    * @param message a data row
    * @return texts, null for SQL NULL
--- a/server/src/main/java/org/streamcourse/connection/wire/Frontend.java
+++ b/server/src/main/java/org/streamcourse/connection/wire/Frontend.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Messages that a client sends, with their type bytes. */
+/** Builders of frontend messages, with their type bytes. */
 public final class Frontend {
   /** Simple query. */
   public static final char QUERY = 'Q';
@@ -23,28 +23,28 @@
   /** Close of a statement or portal. */
   public static final char CLOSE = 'C';
 
-  /** End of an extended request. */
+  /** End of an extended-protocol request. */
   public static final char SYNC = 'S';
 
-  /** Request to send what is there without ending the request. */
+  /** Request to deliver all pending responses without ending the extended-protocol request. */
   public static final char FLUSH = 'H';
 
-  /** Password or SASL answer. */
+  /** Password or SASL response. */
   public static final char PASSWORD = 'p';
 
-  /** End of the connection. */
+  /** Termination of the connection. */
   public static final char TERMINATE = 'X';
 
   /** Version number of the protocol, 3.0. */
   public static final int PROTOCOL_VERSION = 3 << 16;
 
-  /** Code of a cancel request in place of a version. */
+  /** Code in place of the protocol version that marks a cancel request. */
   public static final int CANCEL_CODE = 80877102;
 
-  /** Code of a TLS request in place of a version. */
+  /** Code in place of the protocol version that marks an SSLRequest. */
   public static final int TLS_CODE = 80877103;
 
-  /** Code of a GSS encryption request in place of a version. */
+  /** Code in place of the protocol version that marks a GSSENCRequest. */
   public static final int GSS_CODE = 80877104;
 
   /** Marks a statement in Describe and Close. */
@@ -58,7 +58,7 @@
   /**
    * Builds a simple query.
    *
-   * @param sql its text
+   * @param sql text of the query
    * @return bytes
    */
   public static byte[] query(String sql) {
@@ -68,7 +68,7 @@
   /**
    * Builds a startup message.
    *
-   * @param parameters parameters such as user and database
+   * @param parameters startup parameters, such as user and database
    * @return bytes
    */
   public static byte[] startup(Map<String, String> parameters) {
@@ -80,8 +80,8 @@
   /**
    * Builds a cancel request.
    *
-   * @param process process number
-   * @param secret secret
+   * @param process process id of the backend key
+   * @param secret secret of the backend key
    * @return bytes
    */
   public static byte[] cancel(int process, int secret) {
@@ -89,7 +89,7 @@
   }
 
   /**
-   * Builds a password answer.
+   * Builds a password message.
    *
    * @param password the password
    * @return bytes
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Builds the end of the connection.
+   * Builds a Terminate message.
    *
    * @return bytes
    */
--- a/server/src/main/java/org/streamcourse/connection/wire/WireBuilder.java
+++ b/server/src/main/java/org/streamcourse/connection/wire/WireBuilder.java
@@ -25,7 +25,7 @@
   }
 
   /**
-   * Starts a message without type byte, as a connection's first is.
+   * Starts a message without type byte, such as the startup message.
    *
    * @return builder
    */
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Adds a zero-terminated text.
+   * Adds a null-terminated string.
    *
    * @param text the text
    * @return this
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Adds a value with its length before it.
+   * Adds a value prefixed with its length.
    *
    * @param content the value, null for SQL NULL
    * @return this
@@ -105,9 +105,9 @@
   }
 
   /**
-   * Ends the message.
+   * Returns the bytes of the message.
    *
-   * @return its bytes
+   * @return type byte, length and body
    */
   public byte[] bytes() {
     byte[] content = body.toByteArray();
@@ -125,7 +125,7 @@
   }
 
   /**
-   * Ends the message.
+   * Builds the message.
    *
    * @return the message
    */
--- a/server/src/main/java/org/streamcourse/connection/wire/WireChannel.java
+++ b/server/src/main/java/org/streamcourse/connection/wire/WireChannel.java
@@ -13,20 +13,20 @@
 import reactor.netty.Connection;
 
 /**
- * A TCP connection that carries the wire protocol. Reading can be paused, so that a slow receiver
- * holds back the sender through TCP instead of filling the heap.
+ * A TCP connection that carries the wire protocol. Reading can be paused, so that TCP flow control
+ * slows the sender down when the receiver is slow, instead of messages filling the heap.
  */
 public final class WireChannel implements CallerChannel {
-  private static final long LINGER_MILLIS = 1_000;
-  private static final String FRAMES = "wireFrames";
-  private static final String MESSAGES = "wireMessages";
+  private static final long HALF_CLOSE_MILLIS = 1_000;
+  private static final String FRAME_DECODER = "wireFrames";
+  private static final String MESSAGE_HANDLER = "wireMessages";
   private static final int LENGTH_BYTES = Integer.BYTES;
 
   private final Channel channel;
   private final int maxFrameBytes;
   private WireHandler handler;
   private boolean closedReported;
-  private boolean lingers;
+  private boolean halfClosesFirst;
 
   private WireChannel(Channel channel, int maxFrameBytes) {
     this.channel = channel;
@@ -34,36 +34,36 @@
   }
 
   /**
-   * Takes over an accepted connection, whose first messages have no type byte; {@link
-   * #typedMessages()} ends that.
+   * Wraps an accepted connection. Its messages have no type byte until {@link #typedMessages()} is
+   * called.
    *
    * @param connection the connection
-   * @param maxStartupBytes longest first message
-   * @param maxFrameBytes longest message later on
+   * @param maxStartupBytes maximum size of a startup message
+   * @param maxFrameBytes maximum size of a later message
    * @return channel that reads nothing until {@link #open}
    */
   public static WireChannel accepted(
       Connection connection, int maxStartupBytes, int maxFrameBytes) {
     WireChannel wire = new WireChannel(connection.channel(), maxFrameBytes);
-    wire.lingers = true;
+    wire.halfClosesFirst = true;
     connection.addHandlerLast(
-        FRAMES,
+        FRAME_DECODER,
         new LengthFieldBasedFrameDecoder(maxStartupBytes, 0, LENGTH_BYTES, -LENGTH_BYTES, 0));
-    connection.addHandlerLast(MESSAGES, wire.new MessageHandler());
+    connection.addHandlerLast(MESSAGE_HANDLER, wire.new MessageHandler());
     return wire;
   }
 
   /**
-   * Takes over a connection that this side opened.
+   * Wraps a connection that this process opened.
    *
    * @param connection the connection
-   * @param maxFrameBytes longest message
+   * @param maxFrameBytes maximum size of a message
    * @return channel that reads nothing until {@link #open}
    */
   public static WireChannel connected(Connection connection, int maxFrameBytes) {
     WireChannel wire = new WireChannel(connection.channel(), maxFrameBytes);
-    connection.addHandlerLast(FRAMES, wire.typedDecoder());
-    connection.addHandlerLast(MESSAGES, wire.new MessageHandler());
+    connection.addHandlerLast(FRAME_DECODER, wire.typedDecoder());
+    connection.addHandlerLast(MESSAGE_HANDLER, wire.new MessageHandler());
     return wire;
   }
 
@@ -74,7 +74,7 @@
   /**
    * Starts reading.
    *
-   * @param receiver hears what arrives
+   * @param receiver receives the messages and the close
    */
   public void open(WireHandler receiver) {
     channel.eventLoop().execute(() -> startReading(receiver));
@@ -89,15 +89,15 @@
     }
   }
 
-  /** Expects a type byte before each message from now on; call on the event loop. */
+  /** Switches to messages with a type byte; called on the event loop. */
   public void typedMessages() {
-    channel.pipeline().replace(FRAMES, FRAMES, typedDecoder());
+    channel.pipeline().replace(FRAME_DECODER, FRAME_DECODER, typedDecoder());
   }
 
   /**
-   * Sends bytes; safe from any thread, in order of the calls.
+   * Sends messages in the order of the calls; safe from any thread.
    *
-   * @param bytes whole messages
+   * @param bytes complete messages
    */
   @Override
   public void send(byte[] bytes) {
@@ -105,10 +105,10 @@
   }
 
   /**
-   * Sends bytes and tells when they have left this process.
+   * Sends messages and reports when they have been written to the socket.
    *
-   * @param bytes whole messages
-   * @param written runs on the event loop, also when the channel is closed instead
+   * @param bytes complete messages
+   * @param written runs on the event loop, also if the channel is closed before the write
    */
   @Override
   public void send(byte[] bytes, Runnable written) {
@@ -123,36 +123,36 @@
     channel.config().setAutoRead(false);
   }
 
-  /** Reads on. */
+  /** Resumes reading. */
   @Override
   public void resumeReading() {
     channel.config().setAutoRead(true);
   }
 
   /**
-   * Closes the channel after what was sent before. Towards a caller only the sending half is closed
-   * at first: a caller whose request crosses with the close would otherwise get a reset, which
-   * throws away the last answer with its reason.
+   * Closes the channel once all sent messages are written. On an accepted connection only the
+   * output is shut down at first: if a request of the caller arrived after a full close, the caller
+   * would receive a TCP reset and lose the last message, which carries the reason for the close.
    */
   @Override
   public void close() {
     channel
         .writeAndFlush(Unpooled.EMPTY_BUFFER)
-        .addListener((ChannelFutureListener) any -> endOutput());
+        .addListener((ChannelFutureListener) any -> closeOutput());
   }
 
-  private void endOutput() {
-    if (lingers && channel instanceof DuplexChannel duplex && channel.isActive()) {
+  private void closeOutput() {
+    if (halfClosesFirst && channel instanceof DuplexChannel duplex && channel.isActive()) {
       duplex.shutdownOutput();
       channel.config().setAutoRead(true);
-      channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
+      channel.eventLoop().schedule(() -> channel.close(), HALF_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
     } else {
       channel.close();
     }
   }
 
   /**
-   * Returns the other side's address.
+   * Returns the peer's address.
    *
    * @return address for logs
    */
--- a/server/src/main/java/org/streamcourse/connection/wire/WireHandler.java
+++ b/server/src/main/java/org/streamcourse/connection/wire/WireHandler.java
@@ -1,21 +1,21 @@
 package org.streamcourse.connection.wire;
 
-/** Hears what arrives on a {@link WireChannel}; called on the channel's event loop. */
+/** Receives the messages of a {@link WireChannel}; called on the channel's event loop. */
 public interface WireHandler {
   /**
-   * A whole message arrived.
+   * A complete message arrived.
    *
    * @param message the message
    */
   void onMessage(WireMessage message);
 
-  /** All messages of one read were handed over. */
+  /** All messages of one socket read have been delivered. */
   default void onReadComplete() {}
 
   /**
-   * The channel is closed; nothing more arrives.
+   * The channel is closed; no more messages arrive.
    *
-   * @param cause why, or null when the other side closed it in order
+   * @param cause error that closed the channel, or null if it was closed without an error
    */
   void onClosed(Throwable cause);
 }
--- a/server/src/main/java/org/streamcourse/connection/wire/WireMessage.java
+++ b/server/src/main/java/org/streamcourse/connection/wire/WireMessage.java
@@ -6,9 +6,9 @@
 import org.streamcourse.process.StreamcourseException;
 
 /**
- * One whole message of the wire protocol: a type byte, a length, a body.
+ * One complete message of the wire protocol: type byte, length and body.
  *
- * @param bytes the message as sent
+ * @param bytes bytes of the message, including type and length
  */
 public record WireMessage(byte[] bytes) {
   /** Bytes before the body: type and length. */
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Returns the number of bytes with header.
+   * Returns the number of bytes, including the header.
    *
    * @return size
    */
@@ -41,7 +41,7 @@
     return bytes.length;
   }
 
-  /** Reads the fields of a body; a field beyond its end is a protocol violation. */
+  /** Reads the fields of a body; reading past its end is a protocol violation. */
   public static final class Reader {
     private final ByteBuffer buffer;
 
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Reads a zero-terminated text.
+     * Reads a null-terminated string.
      *
-     * @return text without the zero
+     * @return string without the terminator
      */
     public String text() {
       int start = buffer.position();
@@ -66,7 +66,7 @@
         at++;
       }
       if (at == buffer.limit()) {
-        throw violation("text without end");
+        throw violation("string without null terminator");
       }
       byte[] content = new byte[at - start];
       buffer.get(content);
@@ -107,7 +107,7 @@
     /**
      * Reads bytes.
      *
-     * @param count how many
+     * @param count number of bytes
      * @return the bytes
      */
     public byte[] take(int count) {
@@ -118,9 +118,9 @@
     }
 
     /**
-     * Reads a value with a length before it.
+     * Reads a value prefixed with its length.
      *
-     * @return value, or null for length -1
+     * @return value, or null for a negative length
      */
     public byte[] value() {
       int length = int32();
@@ -128,7 +128,7 @@
     }
 
     /**
-     * Returns the rest.
+     * Reads the remaining bytes.
      *
      * @return all bytes not yet read
      */
@@ -137,9 +137,9 @@
     }
 
     /**
-     * Tells whether bytes are left.
+     * Returns whether bytes remain.
      *
-     * @return true when there are
+     * @return true if not all bytes are read
      */
     public boolean hasRemaining() {
       return buffer.hasRemaining();
@@ -147,7 +147,7 @@
 
     private void require(int count) {
       if (count < 0 || buffer.remaining() < count) {
-        throw violation("message is shorter than its fields");
+        throw violation("message ends within a field");
       }
     }
 
--- a/server/src/main/java/org/streamcourse/connection/wire/package-info.java
+++ b/server/src/main/java/org/streamcourse/connection/wire/package-info.java
@@ -1,4 +1,4 @@
 /**
- * PostgreSQL wire protocol v3: message building and reading; framing is done by Netty's decoders.
+ * PostgreSQL wire protocol v3: builders and readers of messages; Netty's decoders do the framing.
  */
 package org.streamcourse.connection.wire;
