--- a/server/src/main/java/org/streamcourse/connection/admin/AdminSession.java
+++ b/server/src/main/java/org/streamcourse/connection/admin/AdminSession.java
@@ -7,7 +7,7 @@
 import java.util.Deque;
 import java.util.List;
 import org.streamcourse.connection.frontend.CallerChannel;
-import org.streamcourse.connection.frontend.FrontendConnection.LoggedIn;
+import org.streamcourse.connection.frontend.FrontendConnection.CallerSession;
 import org.streamcourse.connection.wire.Backend;
 import org.streamcourse.connection.wire.Frontend;
 import org.streamcourse.connection.wire.WireBuilder;
@@ -16,11 +16,11 @@
 import org.streamcourse.version.control.AdminResult;
 
 /**
- * One operator's session. Statements come through the simple or the extended protocol, without
- * parameters; each is executed by the leader, one at a time.
+ * Session of one operator. Accepts statements without parameters in the simple and the extended
+ * protocol; the leader executes them one at a time.
  */
-final class AdminSession implements LoggedIn {
-  private static final String ABANDONED = "57014";
+final class AdminSession implements CallerSession {
+  private static final String QUERY_CANCELED = "57014";
   private static final long STATEMENT_TIMEOUT_MILLIS = 10_000;
 
   private final CallerChannel channel;
@@ -54,7 +54,7 @@
 
   @Override
   public void cancel() {
-    // Statements of operators are short; there is nothing to cancel.
+    // Operators' statements are short, so cancel requests are ignored.
   }
 
   private void process() {
@@ -93,15 +93,17 @@
     extended.clear();
     boolean executes = messages.stream().anyMatch(each -> each.type() == Frontend.EXECUTE);
     if (!executes || parsedSql.isBlank() || isSessionSetting(parsedSql)) {
-      AdminResult nothing = new AdminResult(List.of(), List.of(), "SET", "", "");
-      channel.send(extendedAnswer(messages, nothing));
+      AdminResult noRows = new AdminResult(List.of(), List.of(), "SET", "", "");
+      channel.send(extendedAnswer(messages, noRows));
       channel.send(Backend.ready(Backend.STATUS_IDLE));
       return;
     }
     execute(parsedSql, result -> channel.send(extendedAnswer(messages, result)));
   }
 
-  /** Drivers set parameters after login; none of them has a meaning here. */
+  /**
+   * Returns whether a statement is a SET, which drivers send after login and which has no effect.
+   */
   private static boolean isSessionSetting(String sql) {
     return sql.strip().regionMatches(true, 0, "SET ", 0, "SET ".length());
   }
@@ -110,7 +112,7 @@
     running = true;
     statements++;
     long statement = statements;
-    java.util.function.Consumer<AdminResult> once =
+    java.util.function.Consumer<AdminResult> completeOnce =
         result ->
             worker.execute(
                 () -> {
@@ -124,12 +126,12 @@
     worker.schedule(
         STATEMENT_TIMEOUT_MILLIS,
         () ->
-            once.accept(
+            completeOnce.accept(
                 AdminResult.error(
-                    ABANDONED,
-                    "no answer of the leader; the outcome is unknown, send the command again with"
+                    QUERY_CANCELED,
+                    "no reply from the leader; the outcome is unknown, send the command again with"
                         + " the same id")));
-    router.execute(sql, once);
+    router.execute(sql, completeOnce);
   }
 
   private static byte[] simpleAnswer(AdminResult result) {
@@ -164,7 +166,7 @@
         case Frontend.DESCRIBE -> describe(message, result, out);
         case Frontend.EXECUTE -> writeRows(result, out);
         default -> {
-          // Flush asks for what is sent anyway.
+          // Flush needs no response; all responses are sent at once.
         }
       }
     }
--- a/server/src/main/java/org/streamcourse/connection/admin/AdminSessions.java
+++ b/server/src/main/java/org/streamcourse/connection/admin/AdminSessions.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import org.streamcourse.connection.frontend.CallerChannel;
-import org.streamcourse.connection.frontend.FrontendConnection.LoggedIn;
+import org.streamcourse.connection.frontend.FrontendConnection.CallerSession;
 import org.streamcourse.connection.frontend.FrontendConnection.SessionFactory;
 import org.streamcourse.process.Worker;
 
-/** Opens operators' sessions; every database name leads to the admin console. */
+/** Opens operators' sessions; every database name is accepted. */
 public final class AdminSessions implements SessionFactory {
   private final Supplier<Worker> workers;
   private final StatementRouter router;
@@ -15,8 +15,8 @@
   /**
    * Creates the factory.
    *
-   * @param workers gives a worker to each session
-   * @param router brings statements to the leader
+   * @param workers supplies the worker of each session
+   * @param router forwards statements to the leader
    */
   public AdminSessions(Supplier<Worker> workers, StatementRouter router) {
     this.workers = workers;
@@ -24,12 +24,12 @@
   }
 
   @Override
-  public boolean knows(String database) {
+  public boolean databaseExists(String database) {
     return true;
   }
 
   @Override
-  public LoggedIn open(
+  public CallerSession open(
       CallerChannel channel, String database, String user, Map<String, String> options) {
     return new AdminSession(channel, workers.get(), router);
   }
--- a/server/src/main/java/org/streamcourse/connection/admin/Console.java
+++ b/server/src/main/java/org/streamcourse/connection/admin/Console.java
@@ -16,7 +16,7 @@
 import java.util.Properties;
 import org.streamcourse.process.settings.HostPort;
 
-/** A line-by-line console for the admin port, over the PostgreSQL driver. */
+/** Line-oriented console for the admin port, over the PostgreSQL JDBC driver. */
 public final class Console {
   private final HostPort admin;
   private final Properties login = new Properties();
@@ -40,9 +40,9 @@
    * Executes one statement, or each line of the input.
    *
    * @param statement the statement, or null to read lines
-   * @param input where lines come from
-   * @param output where results go
-   * @param errors where errors go
+   * @param input source of statements, one a line
+   * @param output receives results
+   * @param errors receives errors
    * @return true when every statement succeeded
    */
   public boolean run(String statement, InputStream input, PrintStream output, PrintStream errors) {
--- a/server/src/main/java/org/streamcourse/connection/admin/StatementRouter.java
+++ b/server/src/main/java/org/streamcourse/connection/admin/StatementRouter.java
@@ -11,7 +11,7 @@
 import org.streamcourse.version.control.LeaderForwarder;
 import org.streamcourse.version.language.AdminExecutor;
 
-/** Brings operators' statements to the leader, from whichever controller they reached. */
+/** Forwards operators' statements from the controller that received them to the leader. */
 public final class StatementRouter {
   private static final long FORWARD_TIMEOUT_MILLIS = 10_000;
 
@@ -22,7 +22,7 @@
    * Creates a router.
    *
    * @param worker the controller's worker
-   * @param network way to other controllers
+   * @param network peer network for messages to other controllers
    * @param controller this controller
    */
   public StatementRouter(Worker worker, PeerNetwork network, Controller controller) {
@@ -45,8 +45,8 @@
   /**
    * Executes a statement here or at the leader.
    *
-   * @param statement its text
-   * @param answer gets the result, at most once, on any thread
+   * @param statement text of the statement
+   * @param answer receives the result, at most once, on any thread
    */
   public void execute(String statement, Consumer<AdminResult> answer) {
     forwarder.execute(statement, answer);
@@ -56,7 +56,7 @@
    * Handles a message of another controller.
    *
    * @param peer sender
-   * @param message what arrived
+   * @param message message of that controller
    */
   public void receive(String peer, Object message) {
     if (message instanceof AdminRequest request) {
--- a/server/src/main/java/org/streamcourse/connection/frontend/CallerChannel.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/CallerChannel.java
@@ -1,28 +1,28 @@
 package org.streamcourse.connection.frontend;
 
-/** A caller's connection as the session sees it; the simulator has one without a network. */
+/** A caller's connection as used by its session; the simulator implements it without a network. */
 public interface CallerChannel {
   /**
    * Sends messages.
    *
-   * @param messages whole messages
+   * @param messages complete messages
    */
   void send(byte[] messages);
 
   /**
-   * Sends messages and tells when the caller's connection has taken them.
+   * Sends messages and reports when they have been written to the caller's connection.
    *
-   * @param messages whole messages
-   * @param taken runs on any thread
+   * @param messages complete messages
+   * @param written runs once the messages are written, on any thread
    */
-  void send(byte[] messages, Runnable taken);
+  void send(byte[] messages, Runnable written);
 
   /** Stops reading. */
   void pauseReading();
 
-  /** Reads on. */
+  /** Resumes reading. */
   void resumeReading();
 
-  /** Closes the connection after what was sent. */
+  /** Closes the connection once all sent messages are written. */
   void close();
 }
--- a/server/src/main/java/org/streamcourse/connection/frontend/CallerSessions.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/CallerSessions.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
-import org.streamcourse.connection.frontend.FrontendConnection.LoggedIn;
+import org.streamcourse.connection.frontend.FrontendConnection.CallerSession;
 import org.streamcourse.connection.frontend.FrontendConnection.SessionFactory;
 import org.streamcourse.connection.wire.WireMessage;
 import org.streamcourse.process.ErrorCode;
@@ -12,7 +12,7 @@
 import org.streamcourse.process.Worker;
 import org.streamcourse.request.edge.EdgeNode;
 
-/** The callers' sessions of this node. */
+/** The sessions of this node's callers. */
 public final class CallerSessions implements SessionFactory {
   private final Supplier<Worker> workers;
   private final EdgeNode edge;
@@ -21,9 +21,9 @@
   private volatile boolean draining;
 
   /**
-   * Creates the table.
+   * Creates an empty set of sessions.
    *
-   * @param workers gives a worker to each session
+   * @param workers supplies the worker of each session
    * @param edge this node's edge
    * @param settings settings of callers' connections
    */
@@ -34,12 +34,12 @@
   }
 
   @Override
-  public boolean knows(String database) {
+  public boolean databaseExists(String database) {
     return edge.image().group(database).isPresent();
   }
 
   @Override
-  public LoggedIn open(
+  public CallerSession open(
       CallerChannel channel, String database, String user, Map<String, String> options) {
     if (draining) {
       throw new StreamcourseException(
@@ -68,8 +68,8 @@
     sessions.forEach(ConnectionSession::drain);
   }
 
-  /** Keeps the table in line with the connections. */
-  private final class Registered implements LoggedIn {
+  /** Removes the session from the set when its connection closes. */
+  private final class Registered implements CallerSession {
     private final ConnectionSession session;
 
     Registered(ConnectionSession session) {
--- a/server/src/main/java/org/streamcourse/connection/frontend/CancelKeys.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/CancelKeys.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Keys under which callers may cancel what runs in their sessions. */
+/** Keys with which callers may cancel the running request of their sessions. */
 public final class CancelKeys {
   /**
    * A key.
    *
-   * @param process number of the session
-   * @param secret secret that the caller must show
+   * @param process number of the session, the protocol's process id
+   * @param secret secret that the cancel request must carry
    */
   public record Key(int process, int secret) {}
 
@@ -20,9 +20,9 @@
   private final Map<Key, Runnable> cancels = new ConcurrentHashMap<>();
 
   /**
-   * Makes a key.
+   * Creates a key.
    *
-   * @param cancel what a cancel request does
+   * @param cancel runs for each cancel request with this key
    * @return new key
    */
   public Key register(Runnable cancel) {
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Forgets a key.
+   * Removes a key.
    *
    * @param key key of an ended session
    */
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Carries out a cancel request; a wrong key is ignored, as the protocol asks.
+   * Handles a cancel request; an unknown key is ignored, as the protocol requires.
    *
-   * @param key what the caller showed
+   * @param key key of the cancel request
    */
   public void cancel(Key key) {
     Runnable cancel = cancels.get(key);
--- a/server/src/main/java/org/streamcourse/connection/frontend/ConnectionSession.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/ConnectionSession.java
@@ -21,12 +21,11 @@
 import org.streamcourse.version.image.TermPosition;
 
 /**
- * State of one logged-in caller: its floor, its parameters, its prepared statements, its
- * transaction.
+ * Session of one authenticated caller: floor, parameters, prepared statements and transaction.
  *
- * <p>One request runs at a time; those that the caller sends meanwhile wait, and beyond a limit the
- * caller is no longer read from. All methods but {@link #receive}, {@link #channelClosed}, {@link
- * #cancel} and {@link #drain} run on the session's worker.
+ * <p>One request runs at a time. Messages that arrive meanwhile are queued; above a limit on their
+ * bytes, reading from the caller pauses. All methods but {@link #receive}, {@link #channelClosed},
+ * {@link #cancel} and {@link #drain} run on the session's worker.
  */
 public final class ConnectionSession implements RequestListener {
   private final CallerChannel channel;
@@ -40,11 +39,11 @@
   private final RequestExecutor executor;
   private final RequestLog log;
   private final Deque<WireMessage> queue = new ArrayDeque<>();
-  private final AnswerFilter filter = new AnswerFilter();
+  private final ParseCompleteFilter filter = new ParseCompleteFilter();
   private ExtendedUnit unit;
   private TermPosition floor = TermPosition.ZERO;
   private boolean floorKnown;
-  private Runnable waitingForFloor;
+  private Runnable pendingRead;
   private int queuedBytes;
   private boolean paused;
   private boolean running;
@@ -91,10 +90,10 @@
   // ---- opening and closing ----
 
   /**
-   * Sets a parameter that the caller gave at startup.
+   * Sets a parameter of the caller's startup message.
    *
    * @param name parameter
-   * @param value its value
+   * @param value value of the parameter
    */
   public void startupParameter(String name, String value) {
     if (name.equals(SessionParameters.FLOOR)) {
@@ -105,7 +104,7 @@
     }
   }
 
-  /** Starts to look for a floor unless the caller brought one. */
+  /** Requests the group's floor, unless the caller has supplied one at startup. */
   public void open() {
     if (!floorKnown) {
       edge.readFloor(group, found -> worker.execute(() -> floorFound(found)));
@@ -115,15 +114,15 @@
   private void floorFound(TermPosition found) {
     floor = floor.max(found);
     floorKnown = true;
-    Runnable waiting = waitingForFloor;
-    waitingForFloor = null;
+    Runnable waiting = pendingRead;
+    pendingRead = null;
     if (waiting != null) {
       waiting.run();
     }
   }
 
   /**
-   * Takes a message of the caller.
+   * Receives a message of the caller.
    *
    * @param message the message
    */
@@ -131,18 +130,18 @@
     worker.execute(() -> enqueue(message));
   }
 
-  /** The caller is gone. */
+  /** The caller's connection is closed. */
   public void channelClosed() {
     worker.execute(
         () -> {
           closed = true;
-          waitingForFloor = null;
+          pendingRead = null;
           queue.clear();
           executor.close();
         });
   }
 
-  /** Cancels what runs, as the caller asked over another connection. */
+  /** Cancels the running request, for a cancel request on another connection. */
   public void cancel() {
     worker.execute(executor::cancel);
   }
@@ -157,9 +156,9 @@
   }
 
   /**
-   * Tells whether the session has ended.
+   * Returns whether the session has ended; on the session's worker.
    *
-   * @return true once it takes no more requests; on the session's worker
+   * @return true once the session accepts no more requests
    */
   public boolean isClosed() {
     return closed;
@@ -170,7 +169,7 @@
     if (draining && idle && !executor.isPinned() && !closed) {
       closed = true;
       channel.send(
-          ErrorAnswers.of(
+          ErrorResponses.of(
               "FATAL",
               new StreamcourseException(
                   ErrorCode.NODE_NOT_SERVING,
@@ -229,7 +228,7 @@
     try {
       unit.add(message);
       if (unit.size() > settings.maxFrameBytes()) {
-        fatal(violation("a request is longer than " + settings.maxFrameBytes() + " bytes"));
+        fatal(violation("request exceeds the limit of " + settings.maxFrameBytes() + " bytes"));
       }
     } catch (StreamcourseException e) {
       fatal(e);
@@ -243,7 +242,7 @@
   private void fatal(StreamcourseException error) {
     closed = true;
     executor.close();
-    channel.send(ErrorAnswers.of("FATAL", error));
+    channel.send(ErrorResponses.of("FATAL", error));
     channel.close();
   }
 
@@ -303,11 +302,11 @@
     run(statementClass, messages, endsWithReady);
   }
 
-  /** Answers without ReadyForQuery that need no member; null when a member is needed. */
+  /** Returns the answer, without ReadyForQuery, if no member is needed for it; else null. */
   private byte[] localAnswer(StatementClass statementClass, String sql, boolean simple) {
     try {
       LocalStatements.Answer answer =
-          LocalStatements.answer(statementClass, sql, parameters, this::ownParameter, status);
+          LocalStatements.answer(statementClass, sql, parameters, this::proxyParameter, status);
       if (transactionFailed) {
         answer = answerInFailedTransaction(statementClass);
       } else if (answer == null || executor.isPinned()) {
@@ -316,7 +315,7 @@
       return simple ? answer.simple() : answer.extended(unit.originals());
     } catch (StreamcourseException e) {
       skipUntilSync = !simple;
-      return ErrorAnswers.of("ERROR", e);
+      return ErrorResponses.of("ERROR", e);
     }
   }
 
@@ -330,10 +329,10 @@
         ErrorCode.TRANSACTION_FAILED,
         "transaction",
         "",
-        "the transaction was lost; end it with ROLLBACK");
+        "the transaction was aborted by an earlier error; end it with ROLLBACK");
   }
 
-  private String ownParameter(String name) {
+  private String proxyParameter(String name) {
     return switch (name) {
       case SessionParameters.FLOOR -> FloorToken.write(edge.fleetKey(), group, floor);
       case SessionParameters.REQUEST_KEY -> parameters.requestKey();
@@ -350,7 +349,7 @@
 
   private void run(StatementClass statementClass, byte[] messages, boolean endsWithReady) {
     running = true;
-    log.started();
+    log.requestStarted();
     runningEndsWithReady = endsWithReady;
     runningEndsTransaction = statementClass.endsTransaction();
     boolean inTransaction = executor.isPinned();
@@ -361,7 +360,7 @@
     if (!inTransaction && statementClass.kind() == Kind.WRITE) {
       requestKey = parameters.takeRequestKey();
       if (!requestKey.isEmpty() && (statementClass.changesSession() || !endsWithReady)) {
-        failed(cannotBeNamed());
+        failed(requestKeyNotApplicable());
         return;
       }
     }
@@ -376,12 +375,13 @@
     }
   }
 
-  private static StreamcourseException cannotBeNamed() {
+  private static StreamcourseException requestKeyNotApplicable() {
     return new StreamcourseException(
         ErrorCode.UNSUPPORTED,
         "request-key",
         "",
-        "only a plain write outside a transaction can be named; it was not run");
+        SessionParameters.REQUEST_KEY
+            + " applies only to a plain write outside a transaction; the statement was not run");
   }
 
   private boolean isRead(StatementClass statementClass) {
@@ -397,18 +397,18 @@
       task.run();
       return;
     }
-    waitingForFloor = task;
+    pendingRead = task;
     worker.schedule(
         settings.floorTimeoutMillis(),
         () -> {
-          if (waitingForFloor == task) {
-            waitingForFloor = null;
+          if (pendingRead == task) {
+            pendingRead = null;
             failed(
                 new StreamcourseException(
                     ErrorCode.NO_MEMBER_AVAILABLE,
                     "read-floor",
                     group,
-                    "no majority of the group answers; the request was not run",
+                    "no floor received from a majority of the group; the request was not run",
                     settings.floorTimeoutMillis(),
                     null));
           }
@@ -451,14 +451,15 @@
 
   @Override
   public void failed(StreamcourseException error) {
-    boolean lostTransaction = status != Backend.STATUS_IDLE && !(running && runningEndsTransaction);
-    transactionFailed = lostTransaction;
-    status = lostTransaction ? Backend.STATUS_FAILED_TRANSACTION : Backend.STATUS_IDLE;
+    boolean abortsTransaction =
+        status != Backend.STATUS_IDLE && !(running && runningEndsTransaction);
+    transactionFailed = abortsTransaction;
+    status = abortsTransaction ? Backend.STATUS_FAILED_TRANSACTION : Backend.STATUS_IDLE;
     if (!running) {
       return;
     }
-    log.failed(error, executor.trace(), worker.now());
-    channel.send(ErrorAnswers.of("ERROR", error, log.requestId()));
+    log.requestFailed(error, executor.trace(), worker.now());
+    channel.send(ErrorResponses.of("ERROR", error, log.requestId()));
     if (!runningEndsWithReady) {
       skipUntilSync = true;
       unit = newUnit();
--- a/server/src/main/java/org/streamcourse/connection/frontend/ErrorAnswers.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/ErrorResponses.java
@@ -3,15 +3,15 @@
 import org.streamcourse.connection.wire.Backend;
 import org.streamcourse.process.StreamcourseException;
 
-/** Turns errors of the product into messages for callers. */
-final class ErrorAnswers {
-  private ErrorAnswers() {}
+/** Converts exceptions of the proxy into ErrorResponse messages. */
+final class ErrorResponses {
+  private ErrorResponses() {}
 
   static byte[] of(String severity, StreamcourseException error) {
     return of(severity, error, "");
   }
 
-  /** Ends the detail with the request's id, by which the logs of all nodes explain it. */
+  /** Appends the request id to the detail; the log lines of all nodes are found by this id. */
   static byte[] of(String severity, StreamcourseException error, String request) {
     String outcome = error.code().isNotRun() ? "not run; " : "";
     String peer = error.peer().isEmpty() ? "" : ", peer " + error.peer();
--- a/server/src/main/java/org/streamcourse/connection/frontend/ExtendedUnit.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/ExtendedUnit.java
@@ -16,11 +16,11 @@
 import org.streamcourse.request.edge.StatementClassifier;
 
 /**
- * Gathers the messages of an extended request and rewrites them for a pooled connection.
+ * Collects the messages of an extended-protocol request and rewrites them for a pooled connection.
  *
- * <p>Named statements live in the session only. At the member every statement is the unnamed one:
- * before a Bind or Describe of another statement than the last parsed, a Parse is put in, and its
- * completion is left out of the answer. So any connection serves any session.
+ * <p>Named statements exist in the session only; at the member every statement is unnamed. Before a
+ * Bind or Describe of a statement other than the one parsed last, a Parse message is inserted, and
+ * its ParseComplete is removed from the answer. Any connection can therefore serve any session.
  */
 final class ExtendedUnit {
   private final StatementClassifier classifier;
@@ -28,7 +28,7 @@
   private final ByteArrayOutputStream messages = new ByteArrayOutputStream();
   private final List<WireMessage> originals = new ArrayList<>();
   private final List<StatementClass> classes = new ArrayList<>();
-  private final Set<Prepared> noted = Collections.newSetFromMap(new IdentityHashMap<>());
+  private final Set<Prepared> classified = Collections.newSetFromMap(new IdentityHashMap<>());
   private final Deque<Boolean> parsesToHide = new ArrayDeque<>();
   private Prepared lastParsed;
   private String firstSql = "";
@@ -50,7 +50,7 @@
     return messages.toByteArray();
   }
 
-  /** Messages as the caller sent them. */
+  /** Returns the messages as the caller sent them. */
   List<WireMessage> originals() {
     return originals;
   }
@@ -59,24 +59,24 @@
     return StatementClassifier.combine(classes);
   }
 
-  /** Text of the first statement that is bound or parsed. */
+  /** Returns the text of the first statement that is parsed, bound or described. */
   String firstSql() {
     return firstSql;
   }
 
-  /** For each Parse in order, whether its completion is to be left out of the answer. */
+  /** Returns, for each Parse in order, whether its ParseComplete is hidden from the caller. */
   Deque<Boolean> takeParsesToHide() {
     Deque<Boolean> taken = new ArrayDeque<>(parsesToHide);
     parsesToHide.clear();
     return taken;
   }
 
-  /** Starts the next part of the same request after a Flush. */
+  /** Clears the messages sent with a Flush, to collect the next part of the same request. */
   void restartAfterFlush() {
     messages.reset();
     originals.clear();
     classes.clear();
-    noted.clear();
+    classified.clear();
   }
 
   void add(WireMessage message) {
@@ -84,7 +84,7 @@
     switch (message.type()) {
       case Frontend.PARSE -> addParse(message);
       case Frontend.BIND -> addBind(message);
-      case Frontend.DESCRIBE, Frontend.CLOSE -> addAboutName(message);
+      case Frontend.DESCRIBE, Frontend.CLOSE -> addDescribeOrClose(message);
       default -> messages.writeBytes(message.bytes());
     }
   }
@@ -96,7 +96,7 @@
     String sql = new WireMessage.Reader(java.nio.ByteBuffer.wrap(afterName)).text();
     Prepared prepared = new Prepared(sql, afterName, classifier.classify(sql));
     statements.put(name, prepared);
-    note(prepared);
+    addClass(prepared);
     parse(prepared, false);
   }
 
@@ -108,13 +108,13 @@
       forwardUnknown(message);
       return;
     }
-    use(prepared);
+    ensureParsed(prepared);
     byte[] rewritten =
         WireBuilder.message(Frontend.BIND).text(portal).text("").raw(body.rest()).bytes();
     messages.writeBytes(rewritten);
   }
 
-  private void addAboutName(WireMessage message) {
+  private void addDescribeOrClose(WireMessage message) {
     WireMessage.Reader body = message.body();
     char kind = (char) body.int8();
     String name = body.text();
@@ -129,28 +129,28 @@
       forwardUnknown(message);
       return;
     } else {
-      use(statements.get(name));
+      ensureParsed(statements.get(name));
     }
     messages.writeBytes(
         WireBuilder.message(message.type()).int8(Frontend.STATEMENT).text("").bytes());
   }
 
-  /** No member knows the name either, so the member answers with the right error. */
+  /** Forwards an unknown statement name, for which the member returns the proper error. */
   private void forwardUnknown(WireMessage message) {
     classes.add(StatementClass.WRITE);
     messages.writeBytes(message.bytes());
   }
 
-  private void use(Prepared prepared) {
-    note(prepared);
+  private void ensureParsed(Prepared prepared) {
+    addClass(prepared);
     if (lastParsed != prepared) {
       parse(prepared, true);
     }
   }
 
-  /** Notes a statement once, however many messages of the unit are about it. */
-  private void note(Prepared prepared) {
-    if (noted.add(prepared)) {
+  /** Adds a statement's class once, however many messages of the unit refer to the statement. */
+  private void addClass(Prepared prepared) {
+    if (classified.add(prepared)) {
       classes.add(prepared.statementClass());
     }
     if (firstSql.isEmpty()) {
--- a/server/src/main/java/org/streamcourse/connection/frontend/FrontendConnection.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/FrontendConnection.java
@@ -17,45 +17,46 @@
 import reactor.core.Disposable;
 
 /**
- * A caller's connection from its first byte: startup, authentication with SCRAM-SHA-256, then the
+ * Protocol states of a caller's connection: startup, authentication with SCRAM-SHA-256, then the
  * session. Runs on the connection's event loop until the session begins.
  */
 public final class FrontendConnection implements WireHandler {
-  /** Makes what serves a caller after its login. */
+  /** Opens sessions for authenticated callers. */
   public interface SessionFactory {
     /**
-     * Checks the database that the caller asks for.
+     * Returns whether a database exists.
      *
-     * @param database its name
-     * @return whether it exists
+     * @param database name of the startup message
+     * @return true if it exists
      */
-    boolean knows(String database);
+    boolean databaseExists(String database);
 
     /**
      * Opens a session.
      *
      * @param channel caller's connection
-     * @param database database that it asked for
+     * @param database database of the startup message
      * @param user name with which the caller has logged in
-     * @param options parameters that it gave at startup
+     * @param options session parameters of the startup message
      * @return session
      */
-    LoggedIn open(CallerChannel channel, String database, String user, Map<String, String> options);
+    CallerSession open(
+        CallerChannel channel, String database, String user, Map<String, String> options);
   }
 
-  /** What serves a caller after its login. */
-  public interface LoggedIn {
+  /** The session of an authenticated caller. */
+  public interface CallerSession {
     /**
-     * Takes a message.
+     * Receives a message.
      *
      * @param message the message
      */
     void receive(WireMessage message);
 
-    /** The caller is gone. */
+    /** The caller's connection is closed. */
     void channelClosed();
 
-    /** Cancels what runs. */
+    /** Cancels the running request. */
     void cancel();
   }
 
@@ -69,7 +70,7 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(FrontendConnection.class);
   private static final String SERVER_VERSION = "15.0";
-  private static final int SASL_STEP = 10;
+  private static final int SASL_MECHANISMS = 10;
   private static final int SASL_CONTINUE = 11;
   private static final int SASL_FINAL = 12;
   private static final int STARTUP_LENGTH_BYTES = Integer.BYTES;
@@ -82,7 +83,7 @@
   private State state = State.STARTUP;
   private Map<String, String> startup = new TreeMap<>();
   private ScramExchange scram;
-  private LoggedIn session;
+  private CallerSession session;
   private CancelKeys.Key cancelKey;
 
   /**
@@ -92,7 +93,7 @@
    * @param worker runs the login timeout
    * @param settings settings of callers' connections
    * @param sessions opens sessions
-   * @param cancelKeys keys of this node
+   * @param cancelKeys cancel keys of this node's sessions
    */
   public FrontendConnection(
       WireChannel channel,
@@ -117,7 +118,7 @@
         case PROOF -> onClientFinal(message);
         case SESSION -> session.receive(message);
         case CLOSED -> {
-          // What comes after an error is not read.
+          // Messages after a fatal error are ignored.
         }
       }
     } catch (StreamcourseException e) {
@@ -126,9 +127,9 @@
   }
 
   private void refuse(StreamcourseException error) {
-    LOG.info("refuses caller {}: {}", channel.remote(), error.toString());
+    LOG.info("connection of caller {} refused: {}", channel.remote(), error.toString());
     state = State.CLOSED;
-    channel.send(ErrorAnswers.of("FATAL", error));
+    channel.send(ErrorResponses.of("FATAL", error));
     channel.close();
   }
 
@@ -150,7 +151,7 @@
           throw violation("protocol version " + (code >>> 16) + " is not supported");
         }
         readParameters(body);
-        requestProof();
+        requestAuthentication();
       }
     }
   }
@@ -163,24 +164,24 @@
     }
   }
 
-  private void requestProof() {
+  private void requestAuthentication() {
     channel.typedMessages();
     state = State.MECHANISM;
     byte[] mechanisms =
         (ScramExchange.MECHANISM + "\0\0").getBytes(java.nio.charset.StandardCharsets.UTF_8);
-    channel.send(Backend.authenticationSasl(SASL_STEP, mechanisms));
+    channel.send(Backend.authenticationSasl(SASL_MECHANISMS, mechanisms));
   }
 
   private void onClientFirst(WireMessage message) {
-    requirePassword(message);
+    requireSaslResponse(message);
     WireMessage.Reader body = message.body();
     String mechanism = body.text();
     if (!mechanism.equals(ScramExchange.MECHANISM)) {
-      throw violation("mechanism " + mechanism + " is not supported");
+      throw violation("SASL mechanism " + mechanism + " is not supported");
     }
     byte[] content = body.value();
     if (content == null) {
-      throw violation("the first message of the login is missing");
+      throw violation("the initial SASL response is missing");
     }
     String user = startup.getOrDefault("user", "");
     Optional<ScramVerifier> verifier = Optional.ofNullable(settings.users().get(user));
@@ -190,24 +191,24 @@
   }
 
   private void onClientFinal(WireMessage message) {
-    requirePassword(message);
+    requireSaslResponse(message);
     byte[] signature = scram.verify(message.body().rest());
     String database = startup.getOrDefault("database", startup.getOrDefault("user", ""));
-    if (!sessions.knows(database)) {
+    if (!sessions.databaseExists(database)) {
       throw new StreamcourseException(
           ErrorCode.UNKNOWN_DATABASE,
           "startup",
           "",
           "database \"" + database + "\" does not exist");
     }
-    LoggedIn opened =
+    CallerSession opened =
         sessions.open(
             channel, database, startup.getOrDefault("user", ""), StartupOptions.parse(startup));
     channel.send(Backend.authenticationSasl(SASL_FINAL, signature));
-    welcome(opened);
+    completeLogin(opened);
   }
 
-  private void welcome(LoggedIn opened) {
+  private void completeLogin(CallerSession opened) {
     loginTimer.dispose();
     cancelKey = cancelKeys.register(opened::cancel);
     channel.send(Backend.authenticationOk());
@@ -228,9 +229,9 @@
     channel.send(Backend.parameterStatus(name, value));
   }
 
-  private static void requirePassword(WireMessage message) {
+  private static void requireSaslResponse(WireMessage message) {
     if (message.type() != Frontend.PASSWORD) {
-      throw violation("expected a login message, got type '" + message.type() + "'");
+      throw violation("expected a SASL response, got message type '" + message.type() + "'");
     }
   }
 
@@ -242,7 +243,7 @@
   public void onClosed(Throwable cause) {
     if (cause instanceof TooLongFrameException
         || cause instanceof io.netty.handler.codec.CorruptedFrameException) {
-      refuse(violation("message length is not acceptable"));
+      refuse(violation("message length is invalid or exceeds the limit"));
     }
     loginTimer.dispose();
     state = State.CLOSED;
--- a/server/src/main/java/org/streamcourse/connection/frontend/FrontendSettings.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/FrontendSettings.java
@@ -5,12 +5,12 @@
 /**
  * Settings of callers' connections.
  *
- * @param loginTimeoutMillis time within which a caller must have logged in
- * @param maxFrameBytes longest message that a caller may send
- * @param maxQueuedBytes bytes of waiting requests beyond which a caller is no longer read from
- * @param floorTimeoutMillis time within which a majority must tell a floor for a session's first
- *     read
- * @param users verifiers of their passwords by user name
+ * @param loginTimeoutMillis time within which a caller must complete the login
+ * @param maxFrameBytes maximum size of a message, and of an extended-protocol request, of a caller
+ * @param maxQueuedBytes bytes of queued messages above which reading from a caller pauses
+ * @param floorTimeoutMillis time within which the floor of a session's first read must be
+ *     determined from a majority of the group
+ * @param users password verifiers by user name
  */
 public record FrontendSettings(
     long loginTimeoutMillis,
@@ -18,6 +18,6 @@
     int maxQueuedBytes,
     long floorTimeoutMillis,
     Map<String, ScramVerifier> users) {
-  /** Longest first message of a connection, in bytes. */
+  /** Maximum size of a startup message. */
   public static final int MAX_STARTUP_BYTES = 10_000;
 }
--- a/server/src/main/java/org/streamcourse/connection/frontend/LocalStatements.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/LocalStatements.java
@@ -12,14 +12,14 @@
 import org.streamcourse.process.StreamcourseException;
 import org.streamcourse.request.edge.StatementClass;
 
-/** Statements that the proxy answers itself, in the simple and in the extended protocol. */
+/** Statements that the proxy answers without a member, in the simple and the extended protocol. */
 final class LocalStatements {
   /**
-   * An answer.
+   * Answer to one statement.
    *
-   * @param column name of the only column, or null when there are no rows
-   * @param value the only value
-   * @param tag what was done, empty for the empty statement
+   * @param column name of the single column, or null when no rows are returned
+   * @param value value of the single row
+   * @param tag command tag, empty for the empty statement
    */
   record Answer(String column, String value, String tag) {
     static Answer tag(String tag) {
@@ -40,7 +40,7 @@
       return tag.isEmpty() ? Backend.empty(Backend.EMPTY_QUERY) : Backend.commandComplete(tag);
     }
 
-    /** One answer for each message of the caller. */
+    /** Returns one response for each message of the caller. */
     byte[] extended(List<WireMessage> messages) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       for (WireMessage message : messages) {
@@ -74,12 +74,12 @@
 
   private LocalStatements() {}
 
-  /** Carries out a statement of the proxy's own; null when a member is needed. */
+  /** Executes a statement that needs no member; returns null when a member is needed. */
   static Answer answer(
       StatementClass statementClass,
       String sql,
       SessionParameters parameters,
-      UnaryOperator<String> ownParameter,
+      UnaryOperator<String> proxyParameter,
       char status) {
     if (status != Backend.STATUS_IDLE) {
       return null;
@@ -92,7 +92,7 @@
           Answer.tag(keyword.equals("COMMIT") || keyword.equals("END") ? "COMMIT" : "ROLLBACK");
       case SHOW_OWN -> {
         String name = sql.strip().split("[\\s;]+")[1].toLowerCase(Locale.ROOT);
-        yield new Answer(name, ownParameter.apply(name), "SHOW");
+        yield new Answer(name, proxyParameter.apply(name), "SHOW");
       }
       default -> {
         if (keyword.equals("COPY")) {
--- a/server/src/main/java/org/streamcourse/connection/frontend/AnswerFilter.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/ParseCompleteFilter.java
@@ -6,23 +6,23 @@
 import java.util.Deque;
 import org.streamcourse.connection.wire.Backend;
 
-/** Leaves out of answers the completions of Parse messages that the caller did not send. */
-final class AnswerFilter {
-  private final Deque<Boolean> hide = new ArrayDeque<>();
-  private int toHide;
+/** Removes ParseComplete messages for Parse messages that the proxy has added to a request. */
+final class ParseCompleteFilter {
+  private final Deque<Boolean> hidden = new ArrayDeque<>();
+  private int hiddenLeft;
 
   void expect(Deque<Boolean> parses) {
-    hide.addAll(parses);
-    toHide += (int) parses.stream().filter(each -> each).count();
+    hidden.addAll(parses);
+    hiddenLeft += (int) parses.stream().filter(each -> each).count();
   }
 
   void clear() {
-    hide.clear();
-    toHide = 0;
+    hidden.clear();
+    hiddenLeft = 0;
   }
 
   byte[] apply(byte[] messages) {
-    if (toHide == 0) {
+    if (hiddenLeft == 0) {
       return messages;
     }
     ByteArrayOutputStream visible = new ByteArrayOutputStream(messages.length);
@@ -39,13 +39,13 @@
   }
 
   private boolean isHidden(char type) {
-    if (type != Backend.PARSE_COMPLETE || hide.isEmpty()) {
+    if (type != Backend.PARSE_COMPLETE || hidden.isEmpty()) {
       return false;
     }
-    boolean hidden = hide.poll();
-    if (hidden) {
-      toHide--;
+    boolean hide = hidden.poll();
+    if (hide) {
+      hiddenLeft--;
     }
-    return hidden;
+    return hide;
   }
 }
--- a/server/src/main/java/org/streamcourse/connection/frontend/PreparedStatements.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/PreparedStatements.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import org.streamcourse.request.edge.StatementClass;
 
-/** A session's prepared statements; they live at the edge, never at a member. */
+/** A session's prepared statements, held at the edge and never at a member. */
 final class PreparedStatements {
   /**
    * One statement.
    *
-   * @param sql its text
+   * @param sql text of the statement
    * @param afterName body of the Parse message after the statement's name
-   * @param statementClass its class
+   * @param statementClass class of the statement
    */
   record Prepared(String sql, byte[] afterName, StatementClass statementClass) {}
 
--- a/server/src/main/java/org/streamcourse/connection/frontend/RequestLog.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/RequestLog.java
@@ -10,16 +10,16 @@
 import org.streamcourse.version.image.NodeImage;
 
 /**
- * Logs the errors of one session's requests: a line for each attempt, and one with code, step and
- * peer. Under overload many requests are not run, so the failed requests that a node tells in a
- * second are bounded.
+ * Logs the failed requests of one session: a line for each attempt, and one with code, step and
+ * peer. Under overload many requests are refused, so the number of failed requests that a node logs
+ * in a second is limited.
  *
- * <p>A request's id is the node's name, its incarnation in base 36, the session's number and the
- * number of the request in it, so it is unique over nodes and restarts.
+ * <p>A request id consists of the node's name, its incarnation in base 36, the session's number and
+ * the request's number in the session, so it is unique across nodes and restarts.
  */
 final class RequestLog {
   private static final Logger LOG = LoggerFactory.getLogger(RequestLog.class);
-  private static final int BASE = 36;
+  private static final int INCARNATION_RADIX = 36;
 
   private final String session;
   private final String database;
@@ -27,28 +27,29 @@
   private long request;
 
   RequestLog(NodeImage node, long number, String database, LineBudget budget) {
-    this.session = node.name() + '-' + Long.toString(node.incarnation(), BASE) + '-' + number;
+    this.session =
+        node.name() + '-' + Long.toString(node.incarnation(), INCARNATION_RADIX) + '-' + number;
     this.database = database;
     this.budget = budget;
   }
 
-  /** Counts a request that starts. */
-  void started() {
+  /** Assigns the next id to a request that starts. */
+  void requestStarted() {
     request++;
   }
 
-  /** Returns the id of the present request. */
+  /** Returns the id of the current request. */
   String requestId() {
     return session + '-' + request;
   }
 
-  /** Logs how the present request failed, and what was tried before. */
-  void failed(StreamcourseException error, RequestTrace trace, long nowMillis) {
+  /** Logs the failure of the current request and its attempts. */
+  void requestFailed(StreamcourseException error, RequestTrace trace, long nowMillis) {
     if (!budget.take()) {
       return;
     }
-    tellDropped();
-    trace.attempts().forEach(each -> attempted(each, nowMillis));
+    logDroppedLines();
+    trace.attempts().forEach(each -> logAttempt(each, nowMillis));
     LOG.info(
         "request failed: {} {} {} {} {} {} {} {}",
         error.getMessage(),
@@ -61,7 +62,7 @@
         keyValue("tookMillis", nowMillis - trace.startedMillis()));
   }
 
-  private void attempted(RequestTrace.Attempt attempt, long nowMillis) {
+  private void logAttempt(RequestTrace.Attempt attempt, long nowMillis) {
     LOG.info(
         "request attempt {} {} {} {} {} {} {} {} {} {} {} {}",
         keyValue("request", requestId()),
@@ -78,7 +79,7 @@
         keyValue("tookMillis", attempt.endedMillis() - attempt.startedMillis()));
   }
 
-  private void tellDropped() {
+  private void logDroppedLines() {
     long dropped = budget.takeDropped();
     if (dropped > 0) {
       LOG.warn("lines dropped {}", keyValue("lines", dropped));
--- a/server/src/main/java/org/streamcourse/connection/frontend/ScramExchange.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/ScramExchange.java
@@ -10,19 +10,20 @@
 import org.streamcourse.process.StreamcourseException;
 
 /**
- * The server's side of one SCRAM-SHA-256 login (RFC 5802, RFC 7677); the cryptography is the
- * library's. An unknown user goes through the same steps as a wrong password.
+ * Server side of one SCRAM-SHA-256 exchange (RFC 5802, RFC 7677); cryptographic functions come from
+ * the SCRAM library. The exchange for an unknown user takes the same steps as for a wrong password.
  */
 final class ScramExchange {
-  /** Name of the mechanism. */
+  /** SASL name of the mechanism. */
   static final String MECHANISM = "SCRAM-SHA-256";
 
   private static final int NONCE_BYTES = 18;
   private static final int GS2_HEADER_FIELDS = 2;
   private static final SecureRandom RANDOM = new SecureRandom();
 
-  /** Stands in for the verifier of an unknown user. */
-  private static final ScramVerifier DECOY = ScramVerifier.of(base64(randomBytes(NONCE_BYTES)));
+  /** Verifier used for unknown users. */
+  private static final ScramVerifier UNKNOWN_USER_VERIFIER =
+      ScramVerifier.of(base64(randomBytes(NONCE_BYTES)));
 
   private final String user;
   private final boolean known;
@@ -35,7 +36,7 @@
   ScramExchange(String user, Optional<ScramVerifier> verifier) {
     this.user = user;
     this.known = verifier.isPresent();
-    this.verifier = verifier.orElse(DECOY);
+    this.verifier = verifier.orElse(UNKNOWN_USER_VERIFIER);
   }
 
   private static byte[] randomBytes(int count) {
@@ -62,7 +63,7 @@
     return serverFirst.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Checks the caller's proof; returns the server's final message. */
+  /** Verifies the caller's proof and returns the server-final message. */
   byte[] verify(byte[] clientFinal) {
     String text = new String(clientFinal, StandardCharsets.UTF_8);
     int proofAt = text.lastIndexOf(",p=");
--- a/server/src/main/java/org/streamcourse/connection/frontend/ScramVerifier.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/ScramVerifier.java
@@ -6,14 +6,15 @@
 import java.security.SecureRandom;
 
 /**
- * What a server needs to check a user's SCRAM proofs (RFC 5802): derived from the password once, as
- * the 4,096 rounds of the derivation would cost milliseconds at each login.
+ * Keys with which a server checks a user's SCRAM proofs (RFC 5802). They are derived from the
+ * password once, because the 4,096 iterations of the derivation would add milliseconds to each
+ * login.
  */
 public final class ScramVerifier {
-  /** Mechanism of all logins. */
+  /** SCRAM mechanism of all logins. */
   static final ScramMechanism MECHANISM = ScramMechanism.SCRAM_SHA_256;
 
-  /** Rounds of the derivation. */
+  /** Iterations of the key derivation. */
   static final int ITERATIONS = 4_096;
 
   private static final int SALT_BYTES = 16;
@@ -56,12 +57,12 @@
     return salt;
   }
 
-  /** Whether a caller's proof shows that it knows the password. */
+  /** Returns whether a caller's proof was made with the user's password. */
   boolean accepts(byte[] proof, String authMessage) {
     return ScramFunctions.verifyClientProof(MECHANISM, proof, storedKey, authMessage);
   }
 
-  /** Shows the caller that the server knows the password's verifier. */
+  /** Returns the signature by which the caller verifies the server. */
   byte[] signature(String authMessage) {
     return ScramFunctions.serverSignature(MECHANISM, serverKey, authMessage);
   }
--- a/server/src/main/java/org/streamcourse/connection/frontend/SessionParameters.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/SessionParameters.java
@@ -11,21 +11,23 @@
 import org.streamcourse.process.StreamcourseException;
 
 /**
- * Parameters that a caller has set for its session. The proxy's own ones take effect here; all
- * others are set on each connection that the session uses.
+ * Parameters that a caller has set for its session. Parameters of the proxy take effect here; all
+ * others are set on each member connection that the session uses.
  */
 final class SessionParameters {
-  /** Prefix of the proxy's own parameters. */
-  static final String OWN_PREFIX = "streamcourse.";
+  /** Prefix of the proxy's parameters. */
+  static final String PROXY_PREFIX = "streamcourse.";
 
-  /** The floor as a token; reported to the caller and taken back at startup. */
-  static final String FLOOR = OWN_PREFIX + "floor";
+  /** The floor as a token; reported to the caller and accepted in a startup message. */
+  static final String FLOOR = PROXY_PREFIX + "floor";
 
-  /** The oldest answer that reads of this session accept, in milliseconds. */
-  static final String MAX_STALENESS = OWN_PREFIX + "max_staleness_ms";
+  /** Maximum staleness that reads of this session accept, in milliseconds. */
+  static final String MAX_STALENESS = PROXY_PREFIX + "max_staleness_ms";
 
-  /** Name of the next write outside a transaction, which then runs once however often sent. */
-  static final String REQUEST_KEY = OWN_PREFIX + "request_key";
+  /**
+   * Idempotency key of the next write outside a transaction; retries with it run the write once.
+   */
+  static final String REQUEST_KEY = PROXY_PREFIX + "request_key";
 
   private static final int MAX_REQUEST_KEY_CHARACTERS = 128;
 
@@ -47,7 +49,7 @@
   private boolean readOnly;
   private String requestKey = "";
 
-  /** Statements that set the parameters on a fresh connection. */
+  /** Returns the statements that set the parameters on a connection in its initial state. */
   List<String> statements() {
     List<String> statements = new ArrayList<>();
     values.forEach((name, value) -> statements.add("SET " + name + " = " + value));
@@ -58,7 +60,7 @@
     return maxStalenessMillis;
   }
 
-  /** Whether the caller declared all its transactions to be read-only. */
+  /** Returns whether the caller has declared all transactions of the session read-only. */
   boolean isReadOnly() {
     return readOnly;
   }
@@ -67,14 +69,14 @@
     return requestKey;
   }
 
-  /** The name of the write that runs now; the next one has none. */
+  /** Returns the idempotency key for the current write and clears it for the next. */
   String takeRequestKey() {
     String taken = requestKey;
     requestKey = "";
     return taken;
   }
 
-  /** Carries out a SET or RESET statement; returns its tag. */
+  /** Executes a SET or RESET statement; returns its command tag. */
   String apply(String sql) {
     String text = sql.strip().replaceAll(";\\s*$", "");
     Matcher characteristics = CHARACTERISTICS.matcher(text);
@@ -95,7 +97,10 @@
     Matcher set = SET.matcher(text);
     if (!set.matches()) {
       throw new StreamcourseException(
-          ErrorCode.INVALID_COMMAND, "set", "", "SET is not understood: " + text);
+          ErrorCode.INVALID_COMMAND,
+          "set",
+          "",
+          "SET statement is not supported by the proxy: " + text);
     }
     set(set.group(1).toLowerCase(Locale.ROOT), set.group(2).strip());
     return "SET";
@@ -119,8 +124,8 @@
     if (name.equals(MAX_STALENESS)) {
       maxStalenessMillis = parseMillis(unquote(value));
     } else if (name.equals(REQUEST_KEY)) {
-      requestKey = checkedKey(unquote(value));
-    } else if (name.startsWith(OWN_PREFIX)) {
+      requestKey = validatedKey(unquote(value));
+    } else if (name.startsWith(PROXY_PREFIX)) {
       throw new StreamcourseException(
           ErrorCode.INVALID_COMMAND, "set", "", "parameter \"" + name + "\" can't be set");
     } else {
@@ -128,7 +133,7 @@
     }
   }
 
-  private static String checkedKey(String key) {
+  private static String validatedKey(String key) {
     boolean printable = key.chars().allMatch(each -> each >= ' ' && each != '\u007f');
     if (key.isEmpty() || key.length() > MAX_REQUEST_KEY_CHARACTERS || !printable) {
       throw new StreamcourseException(
@@ -147,7 +152,7 @@
         return millis;
       }
     } catch (NumberFormatException e) {
-      // Reported below with the name of the parameter.
+      // The error below names the parameter.
     }
     throw new StreamcourseException(
         ErrorCode.INVALID_COMMAND,
--- a/server/src/main/java/org/streamcourse/connection/frontend/StartupOptions.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/StartupOptions.java
@@ -6,10 +6,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Session parameters that a caller gives in its startup message, also in {@code options}. */
+/** Session parameters of a caller's startup message, including those in {@code options}. */
 final class StartupOptions {
   private static final Pattern OPTION = Pattern.compile("(?:-c\\s*|--)([\\w.]+)=((?:\\\\.|\\S)*)");
-  private static final Set<String> NOT_FOR_MEMBERS =
+  private static final Set<String> NOT_FORWARDED =
       Set.of(
           "user", "database", "options", "client_encoding", "replication", "TimeZone", "DateStyle");
 
@@ -19,7 +19,7 @@
     Map<String, String> parameters = new TreeMap<>();
     startup.forEach(
         (name, value) -> {
-          if (!NOT_FOR_MEMBERS.contains(name) && !name.startsWith("_pq_.")) {
+          if (!NOT_FORWARDED.contains(name) && !name.startsWith("_pq_.")) {
             parameters.put(name, quote(name, value));
           }
         });
@@ -35,7 +35,7 @@
   }
 
   private static String quote(String name, String value) {
-    if (name.startsWith(SessionParameters.OWN_PREFIX)) {
+    if (name.startsWith(SessionParameters.PROXY_PREFIX)) {
       return value;
     }
     return "'" + value.replace("'", "''") + "'";
