--- a/lab/src/main/java/org/streamcourse/lab/fleet/Profile.java
+++ b/lab/src/main/java/org/streamcourse/lab/fleet/Profile.java
@@ -31,7 +31,7 @@
   /** Zones of each region. */
   public static final int ZONES_PER_REGION = 2;
 
-  /** Profile of the community radio stations. */
+  /** Profile of the community stations. */
   public static final Profile STATIONS =
       new Profile(
           "stations",
--- a/lab/src/main/java/org/streamcourse/lab/relay/Relay.java
+++ b/lab/src/main/java/org/streamcourse/lab/relay/Relay.java
@@ -95,14 +95,15 @@
     extraDelayMicros = micros;
   }
 
-  /** Resumes forwarding on all connections. */
+  /** Resumes forwarding, except on connections that {@link #healNewConnectionsOnly()} keeps cut. */
   public void heal() {
     cut = Set.of();
   }
 
   /**
-   * Resumes forwarding on new connections only. Existing connections stay cut, as when the sender's
-   * host has stopped retransmitting for a while.
+   * Resumes forwarding on new connections only. Existing connections forward nothing in either
+   * direction from now on, also after {@link #heal()}, as when the sender's host has stopped
+   * retransmitting for a while.
    */
   public void healNewConnectionsOnly() {
     lastStuckForwarder = forwarders.get();
--- a/lab/src/main/java/org/streamcourse/lab/simulation/Scenario.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/Scenario.java
@@ -20,7 +20,8 @@
   /** The newly promoted primary is killed right after the first one. */
   CHOSEN_DIES(Faults::killPrimaryAndSuccessor),
   /**
-   * Controllers and the primary's gateways are cut off; the gateways go on acknowledging writes.
+   * Controllers and the primary's gateways are cut off from each other; the gateways go on
+   * acknowledging writes.
    */
   PRIMARY_UNHEARD(Faults::cutPrimaryGatewaysFromControllers),
   /** A member is drained while its gateways are cut off from the controllers. */
@@ -33,7 +34,7 @@
   LEADER_FROZEN(Faults::freezeLeader),
   /** Operators concurrently send different commands that expect the same version. */
   OPERATORS_RACE(Faults::raceOperators),
-  /** An operator sends the same command several times. */
+  /** An operator sends the same command to every controller, as after an answer was lost. */
   COMMAND_RESENT(Faults::resendCommands),
   /** A controller loses its disk and is restored, then a second controller loses its disk. */
   SECOND_MACHINE_LOST(Faults::loseTwoControllers),
--- a/lab/src/main/java/org/streamcourse/lab/simulation/World.java
+++ b/lab/src/main/java/org/streamcourse/lab/simulation/World.java
@@ -40,7 +40,7 @@
   private static final double WRITER_READ_SHARE = 0.6;
 
   /**
-   * One caller in so many mostly reads. Its floor is old, so that only the staleness limit keeps
+   * One caller in this many mostly reads. Its floor is old, so that only the staleness limit keeps
    * its reads away from a replica that lags far behind.
    */
   private static final int CALLERS_PER_READER = 4;
--- a/lab/src/test/java/org/streamcourse/lab/process/FailureTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/process/FailureTest.java
@@ -214,7 +214,8 @@
   }
 
   /**
-   * Waits until no write becomes unknown for 12 s: callers see earlier failures only at timeouts.
+   * Waits until no write becomes unknown for 12 s: a caller may see an earlier failure as late as
+   * its connection's timeout.
    */
   private void awaitEarlierFailuresReported() {
     await()
--- a/lab/src/test/java/org/streamcourse/lab/simulation/MemberReportTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/MemberReportTest.java
@@ -7,7 +7,10 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** Checks that the leader's report on a member is based on the member's current gateways only. */
+/**
+ * Guards against a dead member that the leader reports to operators as reachable, on the basis of
+ * outdated reports by the member's former gateways.
+ */
 public class MemberReportTest {
   private static final long SEEDS = 8;
   private static final long KILL_AT_MILLIS = 12_000;
--- a/lab/src/test/java/org/streamcourse/lab/simulation/PrimaryChangeAfterPartitionTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/PrimaryChangeAfterPartitionTest.java
@@ -13,9 +13,10 @@
  * <p>Guards against a second promotion based on outdated reports. In a fleet of 12 hosts, a
  * partition of 7 s separated eight of nine proxies and the primary from the controllers, the other
  * proxy and two replicas, one of which was promoted. When the partition ended, the eight proxies
- * still reported the new primary as unreachable; 0.1 s later the former primary, whose known
- * position was the latest, was promoted again with the writes that the first promotion had dropped.
- * Reads between the two promotions had returned a log without these writes.
+ * were admitted again and still reported the new primary as unreachable, as it had been from their
+ * side; 0.1 s later the former primary, whose known position was the latest, was promoted again
+ * with the writes that the first promotion had dropped. Reads between the two promotions had
+ * returned a log without these writes.
  */
 public class PrimaryChangeAfterPartitionTest {
   private static final long SEEDS = 16;
--- a/lab/src/test/java/org/streamcourse/lab/simulation/RestartTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/RestartTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** Checks that a controller that crashes in each of its writes recovers the accepted state. */
+/** A controller that crashes in each of its writes must recover the latest accepted state. */
 public class RestartTest {
   private static final int CHANGES = 1_000;
   private static final long FIRST_VALUE = 1_000;
--- a/lab/src/test/java/org/streamcourse/lab/simulation/ScenarioTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/ScenarioTest.java
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Guards against a scenario that loses the disks of two of three controllers, a majority, at
-   * once.
+   * Guards against a scenario that loses the disks of two of three controllers, a majority, before
+   * one of them is restored.
    */
   @Test
   public void twoAtOnceLosesDisksAtMostOnce() {
--- a/lab/src/test/java/org/streamcourse/lab/simulation/ServiceUnsafeVariantTest.java
+++ b/lab/src/test/java/org/streamcourse/lab/simulation/ServiceUnsafeVariantTest.java
@@ -16,7 +16,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Checks that the checker detects violations when a safeguard of statements is removed. */
+/**
+ * Checks that the checker detects the violation of an invariant of statements whose safeguard is
+ * removed.
+ */
 public class ServiceUnsafeVariantTest {
   private static final long SEEDS = 40;
 
--- a/server/src/main/java/org/streamcourse/connection/backend/MemberSession.java
+++ b/server/src/main/java/org/streamcourse/connection/backend/MemberSession.java
@@ -9,7 +9,7 @@
     /**
      * A message arrived.
      *
-     * @param message any message but parameter reports, notices of them included
+     * @param message a message of any type, including ParameterStatus and NoticeResponse
      */
     void onMessage(WireMessage message);
 
--- a/server/src/main/java/org/streamcourse/connection/frontend/ConnectionSession.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/ConnectionSession.java
@@ -329,7 +329,7 @@
         ErrorCode.TRANSACTION_FAILED,
         "transaction",
         "",
-        "the transaction was aborted by an earlier error; end it with ROLLBACK");
+        "the transaction was lost; end it with ROLLBACK");
   }
 
   private String proxyParameter(String name) {
--- a/server/src/main/java/org/streamcourse/connection/frontend/SessionParameters.java
+++ b/server/src/main/java/org/streamcourse/connection/frontend/SessionParameters.java
@@ -97,10 +97,7 @@
     Matcher set = SET.matcher(text);
     if (!set.matches()) {
       throw new StreamcourseException(
-          ErrorCode.INVALID_COMMAND,
-          "set",
-          "",
-          "SET statement is not supported by the proxy: " + text);
+          ErrorCode.INVALID_COMMAND, "set", "", "cannot parse the SET statement: " + text);
     }
     set(set.group(1).toLowerCase(Locale.ROOT), set.group(2).strip());
     return "SET";
--- a/server/src/main/java/org/streamcourse/connection/member/DrainTimer.java
+++ b/server/src/main/java/org/streamcourse/connection/member/DrainTimer.java
@@ -3,8 +3,8 @@
 /** Measures how long a member has been draining. */
 final class DrainTimer {
   /**
-   * Time for which a draining primary still gets work while another member takes over. It is
-   * shorter than the time after which a draining member must not get any work.
+   * Time after the start of draining for which a primary still gets work while another member takes
+   * over. It ends before the time after which a draining member must not get any work.
    */
   static final long PRIMARY_MILLIS = 3_000;
 
@@ -19,7 +19,7 @@
     return first;
   }
 
-  /** Returns whether the member must not get any work, even as a primary. */
+  /** Returns whether that time is over, so that not even a primary gets work any more. */
   boolean isExpired(long now) {
     return sinceMillis != NOT_DRAINING && now - sinceMillis >= PRIMARY_MILLIS;
   }
--- a/server/src/main/java/org/streamcourse/connection/member/LinkOpenings.java
+++ b/server/src/main/java/org/streamcourse/connection/member/LinkOpenings.java
@@ -54,7 +54,8 @@
   }
 
   /**
-   * Returns for how long a link's tenant may be served before earlier requests, in milliseconds.
+   * Returns the wait in milliseconds up to which a request may be passed over for a later one that
+   * an idle link of its own tenant can serve.
    */
   long passOverMillis() {
     return Math.round(MIN_USE_PER_OPENING * averageMillis);
@@ -97,7 +98,10 @@
     worker.schedule(CONNECT_TIMEOUT_MILLIS, () -> timedOut(link));
   }
 
-  /** Closes a link that isn't connected in time; a connected one may still wait for a slot. */
+  /**
+   * Closes a link that isn't connected in time, as the member is probably unreachable. A link that
+   * is connected may still wait for a slot.
+   */
   private void timedOut(MemberLink link) {
     if (opening.containsKey(link) && !link.isConnected()) {
       link.close();
--- a/server/src/main/java/org/streamcourse/connection/member/LinkQueue.java
+++ b/server/src/main/java/org/streamcourse/connection/member/LinkQueue.java
@@ -25,8 +25,9 @@
  */
 final class LinkQueue {
   /**
-   * Part of its longest wait for which a request is queued although the estimated wait is longer.
-   * Many requests ahead of it time out, so the estimate is often too high.
+   * Part of its longest wait for which a request is queued if its estimated wait exceeds it. The
+   * request is not refused at once, because the estimate is often too high: many requests ahead of
+   * it time out.
    */
   private static final double CROWDED_WAIT_SHARE = 0.48;
 
--- a/server/src/main/java/org/streamcourse/connection/member/MemberLinks.java
+++ b/server/src/main/java/org/streamcourse/connection/member/MemberLinks.java
@@ -33,8 +33,9 @@
   private static final long RETRY_MILLIS = 300;
 
   /**
-   * Pause after the member refused a connection. Connections of hosts that lost power count there
-   * for some seconds, so attempts are frequent; each one is a new connection for the member.
+   * Pause after the member refused a connection. It is short, since the member counts connections
+   * of hosts that lost power for some seconds and then has room; but not shorter, since each
+   * attempt is a new connection for the member.
    */
   private static final long REFUSED_PAUSE_MILLIS = 200;
 
--- a/server/src/main/java/org/streamcourse/connection/peer/TcpPeerNetwork.java
+++ b/server/src/main/java/org/streamcourse/connection/peer/TcpPeerNetwork.java
@@ -269,8 +269,8 @@
         }
         accepted(peer);
       } else {
-        LOG.warn(
-            "refuses a peer link from {}: wrong version or key", context.channel().remoteAddress());
+        String address = String.valueOf(context.channel().remoteAddress());
+        LOG.warn("refuses a peer link from {}: no valid hello with this version and key", address);
         context.close();
       }
     }
--- a/server/src/main/java/org/streamcourse/connection/session/ClientSession.java
+++ b/server/src/main/java/org/streamcourse/connection/session/ClientSession.java
@@ -34,8 +34,8 @@
  *       meanwhile.
  *   <li>Each statement runs for the tenant that holds the session's key in the document in force;
  *       without one it does not run, and an open transaction is rolled back.
- *   <li>A transaction is reported as aborted only when the member reported it, or when no commit
- *       was sent and the member link has been rolled back or closed.
+ *   <li>A transaction is reported as aborted only when the member reported it, when it has written
+ *       nothing, or when no commit was sent and the member link was rolled back or closed.
  * </ul>
  *
  * <p>All methods run on the proxy's worker.
--- a/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyNode.java
@@ -82,8 +82,8 @@
    * @param self image of this node
    * @param dialer opens connections to members
    * @param log logs decisions about statements
-   * @param lastStream relayed streams of this incarnation are numbered upwards from here; far from
-   *     the numbers of other incarnations
+   * @param lastStream random id of this start of the process, also used for quotas; relayed streams
+   *     are numbered upwards from it, far from the numbers of other starts
    * @param quotaSettings settings for tenant limits
    */
   public StatementProxyNode(
@@ -172,12 +172,12 @@
     table.services().forEach(this::reportMembers);
   }
 
-  /** Reports members that are unreachable or were recently heard; withdraws other reports. */
+  /** Reports members that are unreachable or responded recently; withdraws other reports. */
   private void reportMembers(String service, ServiceMembers members) {
     for (MemberLinks links : members.all()) {
       String member = links.member().id().value();
-      boolean recentlyHeard = worker.now() - links.lastResponseMillis() < RECENT_CONTACT_MILLIS;
-      if (links.isUnreachable() || recentlyHeard) {
+      boolean respondedRecently = worker.now() - links.lastResponseMillis() < RECENT_CONTACT_MILLIS;
+      if (links.isUnreachable() || respondedRecently) {
         TermPosition position = members.position(links.member().id());
         MemberStatus status =
             new MemberStatus(position.term(), MemberRole.REPLICA, "", position, position, position);
--- a/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
+++ b/server/src/main/java/org/streamcourse/process/StatementProxyProcess.java
@@ -27,8 +27,8 @@
   private static final long READINESS_LAG_MILLIS = 2_300;
 
   /**
-   * A node without a data folder stores nothing that a later incarnation could conflict with, so
-   * all its incarnations have the same number, which does not depend on the clock.
+   * Incarnation number of every start of the process. A node without a data folder stores nothing
+   * that a later start could conflict with, so the number needs neither to increase nor a clock.
    */
   private static final long ONLY_INCARNATION = 1;
 
--- a/server/src/main/java/org/streamcourse/process/explain/LogFolder.java
+++ b/server/src/main/java/org/streamcourse/process/explain/LogFolder.java
@@ -31,7 +31,7 @@
   LogFolder(Path folder) {
     if (!Files.isDirectory(folder)) {
       throw new StreamcourseException(
-          ErrorCode.INVALID_SETTINGS, "explain", "", "--logs: folder does not exist:  " + folder);
+          ErrorCode.INVALID_SETTINGS, "explain", "", "--logs: not a folder: " + folder);
     }
     this.folder = folder;
   }
--- a/server/src/main/java/org/streamcourse/process/explain/RequestExplainer.java
+++ b/server/src/main/java/org/streamcourse/process/explain/RequestExplainer.java
@@ -36,7 +36,11 @@
   private static final List<String> FINAL_MESSAGES =
       List.of("request failed", "statement answered", "statement given up", "statement over limit");
 
-  /** Prefixes of messages about a node's state, listed for nodes that handled the request. */
+  /**
+   * Prefixes of messages about a node's state, listed for nodes that handled the request. Here and
+   * below, prefixes that no current message has stay listed, since logs of earlier builds are read
+   * too.
+   */
   private static final List<String> NODE_STATE =
       List.of(
           "confirmed by",
--- a/server/src/main/java/org/streamcourse/process/settings/CommonSettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/CommonSettings.java
@@ -15,7 +15,7 @@
    */
   public record Peer(
       @Setting("Name of the controller.") String name,
-      @Setting("Where it accepts links.") HostPort address) {}
+      @Setting("Address at which the controller accepts peer links.") HostPort address) {}
 
   /**
    * A user who may log in.
--- a/server/src/main/java/org/streamcourse/process/settings/ControllerSettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/ControllerSettings.java
@@ -21,17 +21,19 @@
  */
 public record ControllerSettings(
     @Setting("Name of this controller, one of `controllers`.") String name,
-    @Setting("Folder for its files.") String dataFolder,
-    @Setting("Where it accepts links of other processes, as IP:PORT.") HostPort links,
-    @Setting("Where it accepts operators (PostgreSQL protocol), as IP:PORT.") HostPort admin,
-    @Setting(value = "Where it serves metrics (Prometheus text), as IP:PORT.", fallback = "none")
+    @Setting("Data folder of this process.") String dataFolder,
+    @Setting("Address of the port for peer links, as IP:PORT.") HostPort links,
+    @Setting("Address of the admin port (PostgreSQL protocol), as IP:PORT.") HostPort admin,
+    @Setting(
+            value = "Address of the metrics endpoint (Prometheus text), as IP:PORT.",
+            fallback = "none")
         HostPort metrics,
     @Setting("Secret shared by all processes of the fleet.") String fleetKey,
     @Setting("All controllers, this one included.") List<Peer> controllers,
     @Setting(
             value =
-                "Where the platform serves its list of live and leaving machines (HTTP, /machines),"
-                    + " as IP:PORT.",
+                "Address of the platform's list of live and leaving machines (HTTP, /machines), as"
+                    + " IP:PORT.",
             fallback = "none")
         HostPort platformList,
     @Setting("Users who may log in at the admin port.") List<User> operators,
--- a/server/src/main/java/org/streamcourse/process/settings/ProxySettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/ProxySettings.java
@@ -33,12 +33,14 @@
  */
 public record ProxySettings(
     @Setting("Name of this node, unique in the fleet.") String name,
-    @Setting("Region in which it stands.") String region,
-    @Setting("Zone in which it stands, unique among all regions.") String zone,
-    @Setting("Folder for its files.") String dataFolder,
-    @Setting("Where it accepts callers (PostgreSQL protocol), as IP:PORT.") HostPort callers,
-    @Setting("Where it accepts links of other processes, as IP:PORT.") HostPort links,
-    @Setting(value = "Where it serves metrics (Prometheus text), as IP:PORT.", fallback = "none")
+    @Setting("Region of this node.") String region,
+    @Setting("Zone of this node, unique among all regions.") String zone,
+    @Setting("Data folder of this process.") String dataFolder,
+    @Setting("Address of the port for callers (PostgreSQL protocol), as IP:PORT.") HostPort callers,
+    @Setting("Address of the port for peer links, as IP:PORT.") HostPort links,
+    @Setting(
+            value = "Address of the metrics endpoint (Prometheus text), as IP:PORT.",
+            fallback = "none")
         HostPort metrics,
     @Setting("Secret shared by all processes of the fleet.") String fleetKey,
     @Setting("All controllers.") List<Peer> controllers,
@@ -47,7 +49,8 @@
     @Setting("Password at the database members.") String memberPassword,
     @Setting(
             value =
-                "How reads are spread: nearest-fresh, or the baselines primary-only, round-robin.",
+                "Policy that chooses the member for a read: nearest-fresh, or the baselines"
+                    + " primary-only, round-robin.",
             fallback = "nearest-fresh")
         String readPolicy,
     @Setting(
@@ -58,8 +61,8 @@
         Integer warmConnections,
     @Setting(
             value =
-                "Longest wait for a member that a new request may have to expect; one that would"
-                    + " wait longer is refused at once.",
+                "Longest expected wait for a member; a request that would wait longer is refused"
+                    + " at once.",
             unit = "ms",
             fallback = "1000",
             min = 1,
--- a/server/src/main/java/org/streamcourse/process/settings/ServiceControllerSettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/ServiceControllerSettings.java
@@ -29,16 +29,19 @@
  */
 public record ServiceControllerSettings(
     @Setting("Name of this controller, for logs.") String name,
-    @Setting(value = "Region in which it stands.", fallback = "none") String region,
-    @Setting(value = "Zone in which it stands, unique among all regions.", fallback = "none")
+    @Setting(value = "Region of this controller.", fallback = "none") String region,
+    @Setting(value = "Zone of this controller, unique among all regions.", fallback = "none")
         String zone,
-    @Setting("Folder for its files.") String dataFolder,
-    @Setting("Where it accepts calls of operators and members (HTTP), as IP:PORT.") HostPort calls,
-    @Setting("Where it accepts links of other processes, as IP:PORT.") HostPort links,
-    @Setting(value = "Where it serves metrics (Prometheus text), as IP:PORT.", fallback = "none")
+    @Setting("Data folder of this process.") String dataFolder,
+    @Setting("Address of the HTTP port for calls of operators and members, as IP:PORT.")
+        HostPort calls,
+    @Setting("Address of the port for peer links, as IP:PORT.") HostPort links,
+    @Setting(
+            value = "Address of the metrics endpoint (Prometheus text), as IP:PORT.",
+            fallback = "none")
         HostPort metrics,
     @Setting(
-            value = "Where it accepts operators (PostgreSQL protocol), as IP:PORT.",
+            value = "Address of the admin port (PostgreSQL protocol), as IP:PORT.",
             fallback = "none")
         HostPort admin,
     @Setting(value = "Users who may log in at the admin port.", fallback = "[]")
@@ -51,32 +54,34 @@
     @Setting(value = "Whether an empty data folder belongs to a new fleet.", fallback = "false")
         Boolean bootstrap,
     @Setting(
-            value = "Controllers that may be lost at once; there are twice as many voters and one.",
+            value =
+                "Controllers that may fail at the same time; the number of voters is 2n + 1, at"
+                    + " least 3.",
             fallback = "1",
             min = 0,
             max = 10)
         Integer lostMachines,
     @Setting(
             value =
-                "A tenant's limit holds in each span of this length; the same on all processes.",
+                "Length of the window in which a tenant's limit holds; the same on all processes.",
             unit = "s",
             fallback = "5",
             min = 1,
             max = 3600)
         Integer limitWindowSeconds,
     @Setting(
-            value = "Part of a tenant's limit by which it may be exceeded.",
+            value = "Fraction of a tenant's limit by which it may be exceeded.",
             fallback = "0",
             min = 0,
             max = 10)
         Double limitSlackShare,
     @Setting(
-            value = "Operations by which a tenant's limit may be exceeded besides.",
+            value = "Operations by which a tenant's limit may be exceeded in addition.",
             fallback = "0",
             min = 0,
             max = 1_000_000)
         Integer limitSlackOperations,
-    @Setting("Where the outside agent that changes primaries is called, as IP:PORT.")
+    @Setting("Address of the external agent that promotes members, as IP:PORT.")
         HostPort promotionAgent) {
   private static final int MIN_VOTERS = 3;
 
--- a/server/src/main/java/org/streamcourse/process/settings/StatementProxySettings.java
+++ b/server/src/main/java/org/streamcourse/process/settings/StatementProxySettings.java
@@ -26,12 +26,14 @@
  */
 public record StatementProxySettings(
     @Setting("Name of this node, for logs.") String name,
-    @Setting("Region in which it stands.") String region,
-    @Setting("Zone in which it stands, unique among all regions.") String zone,
-    @Setting("Where it accepts callers, as IP:PORT.") HostPort sessions,
-    @Setting("Where it tells whether it is ready (HTTP), as IP:PORT.") HostPort readiness,
-    @Setting("Where it accepts links of other processes, as IP:PORT.") HostPort links,
-    @Setting(value = "Where it serves metrics (Prometheus text), as IP:PORT.", fallback = "none")
+    @Setting("Region of this node.") String region,
+    @Setting("Zone of this node, unique among all regions.") String zone,
+    @Setting("Address of the port for callers, as IP:PORT.") HostPort sessions,
+    @Setting("Address of the HTTP port that reports readiness, as IP:PORT.") HostPort readiness,
+    @Setting("Address of the port for peer links, as IP:PORT.") HostPort links,
+    @Setting(
+            value = "Address of the metrics endpoint (Prometheus text), as IP:PORT.",
+            fallback = "none")
         HostPort metrics,
     @Setting("Secret shared by all processes of the fleet.") String fleetKey,
     @Setting("Addresses of some controllers, as IP:PORT; only the hosts are used.")
@@ -39,7 +41,7 @@
     @Setting(value = "Port at which all controllers accept links.", min = 1, max = 65_535)
         Integer controllerLinkPort,
     @Setting(
-            value = "Time that a planned stop may take.",
+            value = "Longest duration of a planned stop.",
             unit = "s",
             fallback = "10",
             min = 1,
@@ -47,9 +49,10 @@
         Integer graceSeconds,
     @Setting(
             value =
-                "Time after which a key that was taken away must not count here although this node"
-                    + " is cut off; a node refuses all keys when its document is older. Without it"
-                    + " a cut-off node goes by the document it has.",
+                "Time after which a revoked key is refused even if this node has not received the"
+                    + " revocation; a node that is unconfirmed for nearly as long refuses all"
+                    + " keys. Without it, a key is accepted until the node receives its"
+                    + " revocation.",
             unit = "ms",
             fallback = "none",
             min = 1,
@@ -57,20 +60,20 @@
         Long revocationMillis,
     @Setting(
             value =
-                "A tenant's limit holds in each span of this length; the same on all processes.",
+                "Length of the window in which a tenant's limit holds; the same on all processes.",
             unit = "s",
             fallback = "5",
             min = 1,
             max = 3600)
         Integer limitWindowSeconds,
     @Setting(
-            value = "Most lines about statements that it logs in a second; more are counted.",
+            value = "Limit on log lines about statements per second; more are dropped and counted.",
             fallback = "200",
             min = 1,
             max = 100_000)
         Integer linesPerSecond,
     @Setting(
-            value = "Of how many statements one is logged when it completes; 0 for none.",
+            value = "One of this many completed statements is logged; 0 for none.",
             fallback = "50",
             min = 0,
             max = 1_000_000)
--- a/server/src/main/java/org/streamcourse/request/edge/LiteralMask.java
+++ b/server/src/main/java/org/streamcourse/request/edge/LiteralMask.java
@@ -4,7 +4,7 @@
  * Replaces the literals of a statement, so that statements which differ only in their values share
  * one classification. The class of a statement never depends on the value of a literal.
  *
- * <p>Texts in which the end of a literal can't be found by a simple scan (those with comments,
+ * <p>Texts in which the end of a literal cannot be found by a simple scan (those with comments,
  * quoted identifiers, backslashes, dollar quotes or prefixed literals) are returned unchanged.
  */
 final class LiteralMask {
@@ -61,7 +61,7 @@
     return index + 1 == sql.length() ? ' ' : sql.charAt(index + 1);
   }
 
-  /** Whether a character outside of literals begins syntax that this scan doesn't handle. */
+  /** Whether a character outside of literals begins syntax that this scan does not handle. */
   private boolean isAmbiguous(char c) {
     return switch (c) {
       case '"' -> true;
--- a/server/src/main/java/org/streamcourse/request/edge/MemberScores.java
+++ b/server/src/main/java/org/streamcourse/request/edge/MemberScores.java
@@ -8,7 +8,7 @@
 
 /**
  * Observations of members from the requests that this edge has sent them: their latency, the log
- * position that they had applied, and recent failures. Safe from any thread.
+ * position that they had applied, and recent failures. Thread-safe.
  */
 final class MemberScores {
   private static final double SMOOTHING = 0.2;
--- a/server/src/main/java/org/streamcourse/request/edge/RequestExecutor.java
+++ b/server/src/main/java/org/streamcourse/request/edge/RequestExecutor.java
@@ -65,7 +65,7 @@
   /** Pause before the next attempt; doubles until the group's image changes. */
   private long pauseMillis;
 
-  /** Ticket in {@link WaitingRequests}, or 0 while the request doesn't wait. */
+  /** Ticket in {@link WaitingRequests}, or 0 while the request does not wait. */
   private long ticket;
 
   private Disposable pauseTimer = () -> {};
@@ -224,7 +224,7 @@
 
   private void targetsExhausted() {
     if (overloadRetryMillis > 0) {
-      String detail = "no gateway has capacity for the request now";
+      String detail = "no gateway accepted the request, and at least one is overloaded";
       fail(ErrorCode.OVERLOADED, "admit", "", detail, overloadRetryMillis);
       return;
     }
--- a/server/src/main/java/org/streamcourse/request/edge/RetryBudget.java
+++ b/server/src/main/java/org/streamcourse/request/edge/RetryBudget.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Limits the share of retries among an edge's attempts, so that retries don't multiply the load on
+ * Limits the share of retries among an edge's attempts, so that retries do not multiply the load on
  * failing or overloaded members. Each request earns a credit, and each retry costs several; a
- * reserve covers a short burst, such as the failure of a gateway. Safe from any thread.
+ * reserve covers a short burst, such as the failure of a gateway. Thread-safe.
  */
 public final class RetryBudget {
   /** Credits that one retry costs: ten requests earn one retry. */
--- a/server/src/main/java/org/streamcourse/request/edge/StatementClass.java
+++ b/server/src/main/java/org/streamcourse/request/edge/StatementClass.java
@@ -10,7 +10,8 @@
 public record StatementClass(Kind kind, boolean changesSession, boolean endsTransaction) {
   /**
    * Kinds of statements. Within a request, {@link #EMPTY} yields to any other kind and {@link
-   * #READ} to {@link #BEGIN_READ_ONLY}; any other combination counts as {@link #WRITE}.
+   * #READ} to {@link #BEGIN_READ_ONLY}, which is why the latter is declared later; reads stay
+   * {@link #READ}, and any other combination counts as {@link #WRITE}.
    */
   public enum Kind {
     /** Contains no statement. */
@@ -37,6 +38,6 @@
   /** A write that leaves nothing behind in the session. */
   public static final StatementClass WRITE = new StatementClass(Kind.WRITE, false, false);
 
-  /** A statement that can't be classified. */
+  /** A statement that cannot be classified. */
   public static final StatementClass UNKNOWN = new StatementClass(Kind.WRITE, true, true);
 }
--- a/server/src/main/java/org/streamcourse/request/edge/StatementClassifier.java
+++ b/server/src/main/java/org/streamcourse/request/edge/StatementClassifier.java
@@ -19,7 +19,7 @@
 
 /**
  * Classifies statements with a SQL parser; results are cached by the text without its literals. A
- * statement that isn't provably a plain read counts as a write, for example one with an unknown
+ * statement that is not provably a plain read counts as a write, for example one with an unknown
  * function or a locking clause, or a text that the parser rejects.
  */
 public final class StatementClassifier {
@@ -122,7 +122,7 @@
           .reduce(StatementClassifier::merge)
           .orElse(StatementClass.UNKNOWN);
     } catch (Exception | StackOverflowError e) {
-      // The parser doesn't cover every dialect, so the primary runs the text.
+      // The parser does not cover every dialect, so the primary runs the text.
       return StatementClass.UNKNOWN;
     }
   }
--- a/server/src/main/java/org/streamcourse/request/edge/WaitingRequests.java
+++ b/server/src/main/java/org/streamcourse/request/edge/WaitingRequests.java
@@ -10,7 +10,7 @@
  * Requests that pause because no member accepts them at present. A change of their group's image
  * wakes them at once, so the pauses between attempts can grow: with short fixed pauses, thousands
  * of sessions of one group would send attempts to its gateways repeatedly while the group changes
- * its primary. Safe from any thread.
+ * its primary. Thread-safe.
  */
 final class WaitingRequests {
   /**
--- a/server/src/main/java/org/streamcourse/request/gateway/MemberGateway.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/MemberGateway.java
@@ -169,7 +169,7 @@
   /**
    * Returns the pool of connections to the member.
    *
-   * @return pool; safe from any thread
+   * @return pool; thread-safe
    */
   public MemberPool pool() {
     return pool;
@@ -178,7 +178,7 @@
   /**
    * Returns the last known status of the member.
    *
-   * @return status; safe from any thread
+   * @return status; thread-safe
    */
   public MemberStatus status() {
     return monitor.status();
--- a/server/src/main/java/org/streamcourse/request/gateway/StreamGrant.java
+++ b/server/src/main/java/org/streamcourse/request/gateway/StreamGrant.java
@@ -80,7 +80,10 @@
     }
   }
 
-  /** Discards the connection; the slot stays taken until the member has ended the connection. */
+  /**
+   * Discards the connection. The slot stays taken until the member has ended the connection, since
+   * the member may still be running a statement.
+   */
   void discard() {
     if (entry != null) {
       PoolEntry discarded = entry;
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaClient.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaClient.java
@@ -13,11 +13,11 @@
 import reactor.core.Disposable;
 
 /**
- * Has operations of tenants with a limit counted at quota servers. A tenant has few of them, so
- * that its limit is divided into few shares. A request goes to the quota server of the node's
- * region first. When that server does not respond, or has no free share and can't get any, the
- * request goes to the next one, which has a share of its own. This node counts locally for the
- * tenants whose quota server it is.
+ * Requests admission of operations of tenants with a limit from quota servers. Each tenant has few
+ * quota servers, so that its limit is divided into few shares. A request goes to the quota server
+ * of the node's region first. When that server does not respond, or has no free share and cannot
+ * get any, the request goes to the next one, which has a share of its own. This node counts locally
+ * for the tenants whose quota server it is.
  *
  * <p>Other nodes may count operations of this node even while the controllers have not confirmed
  * it.
@@ -74,7 +74,7 @@
    * @param self name of this node
    * @param order which nodes are quota servers
    * @param image the image in force
-   * @param incarnation number of this incarnation of the node; far from those of other incarnations
+   * @param incarnation random id of this start of the process; far from those of other starts
    */
   public QuotaClient(
       Worker worker,
@@ -103,7 +103,7 @@
   /**
    * Counts the operations of other nodes that this node admitted as quota server.
    *
-   * @return count since the start; safe from any thread
+   * @return count since the start; thread-safe
    */
   public long admittedForOthers() {
     return server.admitted();
@@ -112,7 +112,7 @@
   /**
    * Counts the times that a quota server became suspected.
    *
-   * @return count since the start; safe from any thread
+   * @return count since the start; thread-safe
    */
   public long suspicions() {
     return health.suspicions();
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaCounts.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaCounts.java
@@ -29,7 +29,7 @@
   /**
    * Counts admitted operations.
    *
-   * @return count since the start; safe from any thread
+   * @return count since the start; thread-safe
    */
   public long admitted() {
     return admitted;
@@ -38,7 +38,7 @@
   /**
    * Counts refused operations.
    *
-   * @return count since the start; safe from any thread
+   * @return count since the start; thread-safe
    */
   public long refusals() {
     return refused;
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaOperation.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaOperation.java
@@ -130,7 +130,7 @@
     timer = client.schedule(Math.max(0, remaining), this::decisionTimedOut);
   }
 
-  /** Called when the quota server can't be reached. */
+  /** Called when the quota server cannot be reached. */
   void quotaServerLost() {
     if (!ended) {
       requestNext();
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaPacing.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaPacing.java
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Creates a pacing that allows the use of a whole share at once, so that an inherited share can't
-   * be used until the first window is over.
+   * Creates a pacing that allows the use of a whole share at once, so that an inherited share
+   * cannot be used until the first window is over.
    *
    * @param windowMillis length of the window
    * @return unlimited pacing
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaRefusal.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaRefusal.java
@@ -18,8 +18,11 @@
   public enum Reason {
     /** The limit is used up at all nodes together. */
     NO_MORE("the limit is used up at all nodes"),
-    /** The node has used up its share, and the controllers did not grant more in time. */
-    NO_ANSWER("no larger share was granted in time"),
+    /**
+     * The node's share allows no more operations, and the node requested a larger one. None was
+     * granted in time, or the node's waiting operations are at their limit.
+     */
+    NO_ANSWER("the share is used up and a larger one was requested"),
     /** The controllers have not confirmed the node for too long, so it may not use its share. */
     NOT_CONFIRMED("not confirmed by the controllers"),
     /** No quota server of the tenant responded in time. */
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaServer.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaServer.java
@@ -26,7 +26,7 @@
    */
   static final long WAIT_MILLIS = 200;
 
-  /** Time after which an admitted operation has left every window and can't be given back. */
+  /** Time after which an admitted operation has left every window and cannot be given back. */
   private static final long RETENTION_MILLIS = 10_000;
 
   /** Another node's operation. */
@@ -98,7 +98,7 @@
     this.image = image;
   }
 
-  /** Returns the number of other nodes' operations admitted here; safe from any thread. */
+  /** Returns the number of other nodes' operations admitted here; thread-safe. */
   long admitted() {
     return admitted;
   }
@@ -118,8 +118,9 @@
   private void admit(RemoteOperation operation) {
     TenantRule rule = image.get().document().tenant(operation.tenant).orElse(null);
     if (rule == null || !rule.isLimited()) {
-      // The sender's document has a limit that this node's document lacks. The sender sends the
-      // request to the next quota server, which may have the same document as the sender.
+      // The sender's document has a limit that this node's document lacks, so that this node would
+      // admit without counting. The sender sends the request to the next quota server, which may
+      // have the same document as the sender.
       operation.refused(
           new QuotaRefusal(
               operation.tenant, QuotaRefusal.Reason.NOT_CONFIRMED, "", 0, 0, WAIT_MILLIS));
@@ -154,7 +155,7 @@
   }
 
   /**
-   * Forgets the operations of a node whose link was lost. Admitted ones stay counted; the next
+   * Discards the operations of a node whose link was lost. Admitted ones stay counted; the next
    * incarnation of the node uses other numbers.
    */
   void linkLost(String sender) {
@@ -164,7 +165,7 @@
     }
   }
 
-  /** Forgets operations that can't be given back any more; must be called regularly. */
+  /** Discards operations that cannot be given back any more; must be called regularly. */
   void check() {
     long now = worker.now();
     open.values()
--- a/server/src/main/java/org/streamcourse/request/quota/QuotaServerHealth.java
+++ b/server/src/main/java/org/streamcourse/request/quota/QuotaServerHealth.java
@@ -10,7 +10,8 @@
 
 /**
  * Health of the quota servers to which this node has sent requests. A quota server that does not
- * reply in time is suspected and gets no requests until it replies to a ping.
+ * reply in time or cannot be reached is suspected until it replies to a ping or request. A
+ * suspected server gets a request only when all quota servers of the tenant are suspected.
  *
  * <p>All methods run on the proxy's worker.
  */
@@ -44,7 +45,7 @@
     return peer != null && peer.suspected;
   }
 
-  /** Returns the number of times that a quota server became suspected; safe from any thread. */
+  /** Returns the number of times that a quota server became suspected; thread-safe. */
   long suspicions() {
     return suspicions;
   }
@@ -72,7 +73,7 @@
       peer.pingedMillis = worker.now();
       suspicions++;
       LOG.warn(
-          "quota server {} is suspected: {}; requests are sent to other quota servers",
+          "quota server {} is suspected: {}; other quota servers are preferred",
           quotaServer,
           cause);
     }
--- a/server/src/main/java/org/streamcourse/request/quota/TenantQuotas.java
+++ b/server/src/main/java/org/streamcourse/request/quota/TenantQuotas.java
@@ -100,7 +100,7 @@
    * @param worker the proxy's worker
    * @param pacing how fast shares may be used
    * @param node name of this node
-   * @param run number of this incarnation of the node
+   * @param run random id of this start of the process
    * @param holdsShares returns whether the last confirmation by the controllers is recent enough
    * @param toLeader sends a report to the leading controller; reports may be lost
    */
--- a/server/src/main/java/org/streamcourse/request/routing/RequestLog.java
+++ b/server/src/main/java/org/streamcourse/request/routing/RequestLog.java
@@ -38,7 +38,7 @@
    * Creates a log.
    *
    * @param budget bounds the number of lines
-   * @param sampleEvery one in so many completed statements is logged, selected by statement id; 0
+   * @param sampleEvery one of this many completed statements is logged, selected by statement id; 0
    *     for none
    */
   public RequestLog(LineBudget budget, int sampleEvery) {
--- a/server/src/main/java/org/streamcourse/request/routing/StatementAttempt.java
+++ b/server/src/main/java/org/streamcourse/request/routing/StatementAttempt.java
@@ -26,7 +26,7 @@
  *   <li>A read at a replica carries a floor, the lowest log position that it must observe; the
  *       member refuses the read when its log has not reached the floor.
  *   <li>A read at the primary runs within a transaction that only a primary begins and continues,
- *       so a replaced primary can't answer it.
+ *       so a replaced primary cannot answer it.
  *   <li>A write that was sent is not sent again unless the member answered that it was not run;
  *       without an answer the outcome is unknown.
  *   <li>A statement that is abandoned is answered at once.
--- a/server/src/main/java/org/streamcourse/version/control/ControlMessage.java
+++ b/server/src/main/java/org/streamcourse/version/control/ControlMessage.java
@@ -23,7 +23,7 @@
       implements ControlMessage, Envelope {}
 
   /**
-   * A request to join the agreement as a voter, handled by the leader.
+   * A new controller's request to be added to the agreement as a learner, handled by the leader.
    *
    * @param request the request
    */
@@ -32,7 +32,7 @@
   /**
    * A node's observation of one member.
    *
-   * @param group group's name
+   * @param group name of the member's group or service
    * @param member member's name
    * @param reachable whether the member responds
    * @param status status that the member reported last
@@ -149,7 +149,7 @@
    */
   record QuotaDemand(
       TenantId tenant, long number, int held, int used, int waiting, int admitted, int refused) {
-    /** Returns the operations that could not run since the report before. */
+    /** Returns the operations that are queued, and those refused since the report before. */
     int shortBy() {
       return waiting + refused;
     }
--- a/server/src/main/java/org/streamcourse/version/control/ImageStore.java
+++ b/server/src/main/java/org/streamcourse/version/control/ImageStore.java
@@ -12,8 +12,8 @@
  * storing a version writes the bytes of its changes and not those of the image. The whole image is
  * written again when the deltas have become as large as the image.
  *
- * <p>Invariant: loading returns the version stored last. A crash between writing the whole image
- * and deleting the deltas leaves deltas of older versions, which are skipped.
+ * <p>Invariant: loading returns the version stored last or a newer one. A crash between writing the
+ * whole image and deleting the deltas leaves deltas of older versions, which are skipped.
  */
 final class ImageStore {
   private static final String IMAGE_FILE = "image";
--- a/server/src/main/java/org/streamcourse/version/control/NodeAgent.java
+++ b/server/src/main/java/org/streamcourse/version/control/NodeAgent.java
@@ -32,8 +32,8 @@
  *
  * <p>The image's version never decreases: an image with a lower version is dropped. {@link
  * #isConfirmed()} is true while a heartbeat of this node was recently confirmed by a majority of
- * the controllers. Without a confirmation the node may have missed that a member is draining, so it
- * accepts no new work.
+ * the controllers. Without a confirmation the node may have missed that a member is draining, so a
+ * gateway accepts no new work; a statement proxy continues to serve.
  */
 public final class NodeAgent {
   private static final Logger LOG = LoggerFactory.getLogger(NodeAgent.class);
--- a/server/src/main/java/org/streamcourse/version/control/NodeRegistry.java
+++ b/server/src/main/java/org/streamcourse/version/control/NodeRegistry.java
@@ -89,7 +89,8 @@
   /**
    * Time after a node's return in which its reports of unreachable members are ignored, since they
    * describe the other side of a partition. Above the 700 ms within which the node has tried the
-   * member again (300 ms between attempts, 400 ms for a connection) and reported the result.
+   * member again (300 ms between attempts in MemberLinks, 400 ms for a connection in LinkOpenings)
+   * and reported the result.
    */
   private static final long SETTLING_MILLIS = 1_000;
 
--- a/server/src/main/java/org/streamcourse/version/control/ReplicaFence.java
+++ b/server/src/main/java/org/streamcourse/version/control/ReplicaFence.java
@@ -77,9 +77,10 @@
   }
 
   /**
-   * Makes a draining primary step down; to be called once all replicas are paused.
+   * Requests the step-down of a draining primary on the first call; to be called once all replicas
+   * are paused.
    *
-   * @return true once the choice may be made
+   * @return true once the choice may be made; at once if the primary is not draining
    */
   boolean hasDeposed(ServiceImage service, long now) {
     Optional<RegisteredMember> leaving =
--- a/server/src/main/java/org/streamcourse/version/control/ServiceSupervisor.java
+++ b/server/src/main/java/org/streamcourse/version/control/ServiceSupervisor.java
@@ -62,7 +62,7 @@
    * one each 1,200 ms. A replica that started while no controller was reachable still receives
    * records, which are acknowledged, so it must be paused before the choice.
    */
-  private static final long REGISTRATION_MILLIS = 1_500;
+  private static final long FIRST_HEARTBEATS_MILLIS = 1_500;
 
   /** Time for replicas to receive missing records: trips between regions and a disk write. */
   private static final long CATCH_UP_MILLIS = 500;
@@ -379,7 +379,7 @@
       return Optional.empty();
     }
     boolean deposed = latest.isPresent() && fence.hasDeposed(service, actions.now());
-    boolean allRegistered = actions.now() - leadsSince >= REGISTRATION_MILLIS;
+    boolean allRegistered = actions.now() - leadsSince >= FIRST_HEARTBEATS_MILLIS;
     return deposed && allRegistered ? latest : Optional.empty();
   }
 
--- a/server/src/main/java/org/streamcourse/version/image/LinkShares.java
+++ b/server/src/main/java/org/streamcourse/version/image/LinkShares.java
@@ -32,8 +32,8 @@
 
   /**
    * Smallest equal share with which every node holds member links. With fewer links a node,
-   * requests wait for a link of their node while links of other nodes are idle; see the table in
-   * docs/POLICIES.md.
+   * requests wait for a link of their node while links of other nodes are idle; the row "Two links
+   * a node" in docs/POLICIES.md has the figures.
    */
   private static final int MIN_LINKS_PER_NODE = 3;
 
--- a/server/src/main/java/org/streamcourse/version/image/NodeImage.java
+++ b/server/src/main/java/org/streamcourse/version/image/NodeImage.java
@@ -4,7 +4,8 @@
  * An admitted node of the fleet.
  *
  * @param name node's name
- * @param incarnation number of one run of the node's process; differs for each start
+ * @param incarnation number of this start of the node's process; constant for a statement proxy,
+ *     which has no data folder; otherwise it increases with each start
  * @param host IP address for peer links
  * @param port TCP port for peer links
  * @param placement region and zone
--- a/server/src/test/java/org/streamcourse/request/quota/QuotaClientTest.java
+++ b/server/src/test/java/org/streamcourse/request/quota/QuotaClientTest.java
@@ -21,7 +21,7 @@
 import reactor.core.Disposable;
 import reactor.test.scheduler.VirtualTimeScheduler;
 
-/** Tests to which quota server a node sends a request, and its retries when one can't decide. */
+/** Tests to which quota server a node sends a request, and its retries when one cannot decide. */
 public class QuotaClientTest {
   private static final TenantId TENANT = new TenantId("t");
   private static final TenantRule LIMITED = new TenantRule(TENANT, List.of(), 1, 10, 10);
--- a/server/src/test/java/org/streamcourse/request/routing/LateAnswerTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/LateAnswerTest.java
@@ -13,7 +13,7 @@
 public class LateAnswerTest {
   /**
    * Limit for half of the target latency, after which a read is sent to a second member. The whole
-   * target can't be tested, because the route's time-out is shorter.
+   * target cannot be tested, because the route's time-out is shorter.
    */
   private static final long IN_TIME_MILLIS = ScriptedService.TARGET_MILLIS * 6 / 10;
 
--- a/server/src/test/java/org/streamcourse/request/routing/LinkOwnershipTest.java
+++ b/server/src/test/java/org/streamcourse/request/routing/LinkOwnershipTest.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.Test;
 
 /**
- * 72 tenants that share a member with 10 links, each of which belongs to one tenant at a time.
- * Guards against statements that run over another tenant's link, and against tenants that get no
- * link.
+ * 72 tenants of unequal size that share a member with 10 links, each of which belongs to one tenant
+ * at a time. Guards against statements that run over another tenant's link, and against tenants
+ * that get no link.
  */
 public class LinkOwnershipTest {
   private static final int TENANTS = 72;
